--- a/region/event.go
+++ b/region/event.go
@@ -7,41 +7,43 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Event is something that the scheduler is told.
+// Event is an input of the scheduler.
 type Event interface{ isEvent() }
 
-// Command is something that the scheduler wants done.
+// Command is an action that the scheduler requests from its driver.
 type Command interface{ isCommand() }
 
-// Events.
+// Events that Step accepts.
 type (
-	// IntakeRead holds records of the topic that every host appends to, in order.
+	// IntakeRead holds records of the intake, the topic that every host appends to, in
+	// log order.
 	IntakeRead struct{ Records []*record.Intake }
 
-	// EntriesRead holds records of earlier leaders, in order. They come only
-	// before Lead.
+	// EntriesRead holds entries of earlier leaders, in log order. It comes only before
+	// Lead.
 	EntriesRead struct{ Entries []*record.Entry }
 
-	// Lead begins leadership: everything written earlier has been read.
+	// Lead begins leadership with a fencing token. All earlier records have been read
+	// by then.
 	Lead struct{ Fence int64 }
 
-	// ConfigRead brings a configuration in force.
+	// ConfigRead puts a configuration into force.
 	ConfigRead struct{ Config *model.Config }
 
-	// WorkerListed tells a new or changed entry of the host list.
+	// WorkerListed reports a new or changed entry of the host list.
 	WorkerListed struct{ Entry model.WorkerEntry }
 
-	// WorkerUnlisted tells that an entry is gone.
+	// WorkerUnlisted reports that a worker is no longer on the host list.
 	WorkerUnlisted struct{ ID string }
 
-	// Logged tells that all entries up to Seq are kept. SentAt is when the
-	// append that proved it was sent.
+	// Logged reports that all entries up to Seq are committed. SentAt is when the
+	// append that proves it was sent.
 	Logged struct {
 		Seq    int64
 		SentAt time.Duration
 	}
 
-	// Held is the answer to a Hold, which was sent at SentAt.
+	// Held is the answer to a Hold that was sent at SentAt.
 	Held struct {
 		Order  model.HoldOrder
 		SentAt time.Duration
@@ -49,14 +51,14 @@
 		Err    CallError
 	}
 
-	// StartAnswered is the answer to a Start.
+	// StartAnswered is the answer to a Start that was sent at SentAt.
 	StartAnswered struct {
 		Order  model.StartOrder
 		SentAt time.Duration
 		Err    CallError
 	}
 
-	// StopAnswered is the answer to a Stop.
+	// StopAnswered is the answer to a Stop that was sent at SentAt.
 	StopAnswered struct {
 		Order  model.StopOrder
 		SentAt time.Duration
@@ -69,14 +71,14 @@
 		Tickets []model.Ticket
 		At      time.Duration // when the answer came
 		Failed  bool
-		NotSent bool // it failed before it reached the service
+		NotSent bool // the call failed before it reached the service
 	}
 
-	// HostsSeen lists the hosts that can be asked for advice.
+	// HostsSeen lists the hosts through which the advice service can be called.
 	HostsSeen struct{ Hosts []string }
 
-	// Tick passes time. UnixMs is the time of day, Behind how late the driver came to
-	// handle the tick: with a busy processor, every event waits as long. LinkLoad is the
+	// Tick advances time. UnixMs is the time of day. Behind is how late the driver
+	// handled the tick; on a busy processor every event waits as long. LinkLoad is the
 	// share of the driver's link that is in use.
 	Tick struct {
 		UnixMs   int64
@@ -84,8 +86,8 @@
 		LinkLoad float64
 	}
 
-	// Schedule looks for room for what waits. The driver sends it when it has
-	// no other event at hand.
+	// Schedule runs a placement pass. The driver sends it when no other event is
+	// queued.
 	Schedule struct{}
 )
 
@@ -104,72 +106,73 @@
 func (Tick) isEvent()           {}
 func (Schedule) isEvent()       {}
 
-// CallError tells how a call to a worker ended.
+// CallError is the outcome of a call to a worker.
 type CallError int
 
-// Ends of a call to a worker.
+// Outcomes of a call to a worker.
 const (
-	CallOK        CallError = iota
-	CallNotSent             // certainly not executed: no connection
-	CallRefused             // certainly not executed: the worker said so
-	CallFenced              // a higher fencing token was seen there
-	CallOldRun              // the run was stopped or has ended there before
-	CallLate                // the lease that the order grants is over
-	CallNoRoom              // it does not fit there
-	CallNoTicket            // the ticket does not hold there
-	CallOtherLife           // another life of the worker answered
-	CallNoAnswer            // may have been executed, or may be executed later
+	CallOK        CallError = iota // executed
+	CallNotSent                    // certainly not executed: no connection
+	CallRefused                    // certainly not executed: the worker rejected it
+	CallFenced                     // the worker has seen a higher fencing token
+	CallOldRun                     // the run was stopped or has ended there before
+	CallLate                       // the lease that the order grants has expired
+	CallNoRoom                     // the worker has no room for it
+	CallNoTicket                   // the ticket is not valid on the worker
+	CallOtherLife                  // another incarnation of the worker answered
+	CallNoAnswer                   // may have been executed, or may be executed later
 )
 
-// Commands.
+// Commands that Step returns. A command with a field After is executed after that delay.
 type (
-	// Append keeps entries in the log, in order; the last has number Seq.
+	// Append writes entries to the log in order. Seq is the number of the last one.
 	Append struct {
 		Entries []*record.Entry
 		Seq     int64
 	}
 
-	// Start, Stop and Hold are calls to a worker.
+	// Start asks a worker to start a run.
 	Start struct {
 		Order model.StartOrder
-		After time.Duration // wait before the call
+		After time.Duration
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
 		Order model.StopOrder
 		After time.Duration
 	}
-	// Hold renews leases and looks.
+	// Hold is the heartbeat to a worker: it renews leases and reads which runs are
+	// alive or have ended.
 	Hold struct {
 		Order model.HoldOrder
 		After time.Duration
 	}
 
-	// Advise asks the advice service from Host which workers may run a step.
+	// Advise asks the advice service, through Host, on which workers a step may run.
 	Advise struct {
 		Host       string // "" for this host
 		Job        string
 		Occurrence int32
 		Step       int32
 		Workers    []string
-		Expected   time.Duration // how long the service works on it
-		Timeout    time.Duration // how long the answer may take, with what the service works on before
+		Expected   time.Duration // how long the service is expected to work on the call
+		Timeout    time.Duration // how long the answer may take, including the service's work on earlier calls
 	}
 
-	// Publish tells a job's state. An empty state forgets the job.
+	// Publish reports a job's state. StateUnknown removes the job.
 	Publish struct {
 		Job       string
 		Queue     string
 		Workspace string
 		State     State
-		Timed     bool // runs at set times: not counted as waiting
+		Timed     bool // runs at set times and does not count as waiting
 	}
 
-	// Deposed tells that a worker has seen a higher fencing token: another host
+	// Deposed reports that a worker has seen a higher fencing token: another host
 	// leads.
 	Deposed struct{ Worker string }
 
-	// Explain is a line for the log: a decision and its inputs.
+	// Explain is a log line that records a decision and its inputs.
 	Explain struct {
 		Job    string
 		What   string
@@ -177,7 +180,7 @@
 	}
 )
 
-// Field is one input of a decision.
+// Field is one input of a logged decision.
 type Field struct {
 	Name  string
 	Value any
@@ -192,7 +195,7 @@
 func (Deposed) isCommand() {}
 func (Explain) isCommand() {}
 
-// State of a job as its caller sees it.
+// State is the state of a job as callers see it.
 type State int
 
 // States of a job.
--- a/region/region.go
+++ b/region/region.go
@@ -1,19 +1,21 @@
-// Package region is the scheduler of all workers of a region: one host leads
-// and runs it, every other host can take over. It is a state machine without
-// I/O, clock or goroutines: Step takes the time and an event and returns
-// commands.
+// Package region is the scheduler of all workers of a region. One host leads and
+// runs it; every other host can take over. It is a state machine without I/O,
+// clock or goroutines: Step takes the time and an event and returns commands,
+// which the driver (package leader) executes.
 //
-// What it rests on:
+// Invariants:
 //
-//   - Every assignment is in the log before its start is sent. A successor
-//     therefore knows of everything that may run, and where.
-//   - Every end is in the log before the worker is told to forget it.
-//   - The log refuses appends of a leader that was replaced, and a worker
-//     refuses orders below the highest fencing token it has seen.
-//   - A run that may be alive is started nowhere else until its worker lists
-//     its end, has a new life, or its lease is over for certain.
-//   - Where a worker has a new life, or a run of an earlier leader is not found,
-//     a start that got no answer may still come: its task waits for that.
+//   - Every assignment is committed to the log before its start is sent, so a
+//     successor knows every run that may be alive, and on which worker.
+//   - Every end of a run is committed to the log before the worker is told that
+//     it may drop it.
+//   - The log rejects appends of a replaced leader, and a worker rejects orders
+//     with a fencing token below the highest it has seen.
+//   - A run that may be alive is not started elsewhere until its worker reports
+//     its end or has a new incarnation, or its lease has certainly expired.
+//   - When a worker has a new incarnation, or does not report a run of an earlier
+//     leader, an unanswered start may still be executed late. The task is not
+//     started again while that is possible.
 package region
 
 import (
@@ -25,34 +27,35 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Options are the platform's bounds and this product's settings.
+// Options are the bounds set by the platform and the settings of this scheduler.
 type Options struct {
-	MaxLease     time.Duration // workers shorten a longer lease
-	Lease        time.Duration // what we ask for
-	LogRetention time.Duration // records of the log expire after this
-	StatusKept   time.Duration // a finished job's state is answered so long
-	StartsPerS   float64       // what the driver's link carries besides all else; 0 for no bound
+	MaxLease     time.Duration // workers shorten a longer lease to this
+	Lease        time.Duration // the longest lease that the scheduler grants
+	LogRetention time.Duration // age at which records of the log expire
+	StatusKept   time.Duration // how long the state of a finished job can be queried
+	StartsPerS   float64       // starts per second that the driver's link carries beside its other traffic; 0 for no limit
 }
 
 const (
-	// logProofLife is how long a successful append proves that no other host
-	// leads. Longer outages of the log than this let leases lapse; a successor
-	// waits for it before it takes a run on an unreachable worker for dead.
-	// 4 s spans the usual outages of 3 to 5 s together with a lease of 6 s.
+	// logProofLife is how long a successful append proves that no other host leads.
+	// During a longer log outage, leases are no longer renewed and expire. A successor
+	// waits this long before it counts a run on an unreachable worker as lost. 4 s
+	// covers the usual outages of 3 to 5 s together with a lease of 6 s.
 	logProofLife = 4 * time.Second
-	// clockDrift is how much slower than ours a worker's clock may run.
+	// clockDrift is the maximum share by which a worker's clock may run slower than the
+	// scheduler's.
 	clockDrift = 0.02
-	// lapseMargin is added to the computed end of a lease: a worker needs a
-	// moment to end what ran under it.
+	// lapseMargin is added to the computed end of a lease, since a worker needs some
+	// time to stop the runs under it.
 	lapseMargin = 300 * time.Millisecond
-	// logStall is how long the log may keep nothing before no more is assigned:
-	// some ten times its usual answer, and less than a ticket lasts. It is
-	// logStallFactor times the newest append if that took longer.
+	// logStall is how long the log may commit nothing before new assignments stop:
+	// about ten times its usual latency, and less than a ticket is valid. If the newest
+	// append took longer, the limit is logStallFactor times its latency.
 	logStall       = 250 * time.Millisecond
 	logStallFactor = 1.5
-	// heartbeatEvery is the longest pause between appends of a leader: others take
-	// a leader for gone after two to three of them. A leader with work appends more
-	// often anyway.
+	// heartbeatEvery is the longest pause between appends of a leader. Other hosts
+	// consider a leader gone after two to three such pauses. A leader with work appends
+	// more often.
 	heartbeatEvery = 100 * time.Millisecond
 )
 
@@ -61,59 +64,60 @@
 	opts   Options
 	now    time.Duration
 	unixMs int64 // time of day at the last tick
-	fence  int64 // 0 before leadership
+	fence  int64 // fencing token of this leadership; 0 before it
 
 	config *model.Config
 	jobs   map[string]*job
-	// cancelledEarly holds cancellations of jobs that have not been read yet.
+	// cancelledEarly holds when cancellations were read whose jobs have not been read
+	// yet.
 	cancelledEarly map[string]time.Duration
 	workers        map[string]*worker
 	departed       departed
 	order          []*worker // workers in a stable order
 	slots          slots
-	usableNow      []*worker // those that can take work, in this pass
-	scratch        []*worker // of fitting
-	ready          readyList // steps with tasks that wait, most urgent first
+	usableNow      []*worker // workers that can take new work, in this pass
+	scratch        []*worker // result buffer of fitting
+	ready          readyList // steps with waiting tasks, most urgent first
 	used           map[string]model.Resources
 	advisers       advisers
 	lanes          lanes
 	timed          []*job // jobs with further occurrences
-	written        []*job // jobs by when their newest whole record was written
-	finished       []*job // in the order they ended
-	doubts         []*run // of which a start may still be carried out
+	written        []*job // jobs in the order of writtenAt
+	finished       []*job // jobs in the order they ended
+	doubts         []*run // runs in doubt: a start of them may still be executed
 	estimates      estimates
 	shares         shares
 
-	entries   []*record.Entry // produced by this Step
+	entries   []*record.Entry // entries produced by this Step
 	seq       int64           // number of the last entry produced
-	logged    int64           // number of the last entry kept
-	logTook   time.Duration   // of the newest append
-	provenAt  time.Duration   // when the last append that succeeded was sent
+	logged    int64           // number of the last entry committed
+	logTook   time.Duration   // latency of the newest append
+	provenAt  time.Duration   // when the newest successful append was sent
 	appendAt  time.Duration   // when an entry was last produced
-	unkeptAt  time.Duration   // since when the oldest entry on its way has waited, at the latest
-	whenKept  []afterLog      // what waits for the log, by entry number
+	unkeptAt  time.Duration   // the oldest uncommitted entry has waited since then or longer
+	whenKept  []afterLog      // callbacks that wait for a commit, by entry number
 	leadSince time.Duration
-	// usualAnswer is how long a worker takes to answer an order, a running mean.
+	// usualAnswer is a running mean of the time in which workers answer an order.
 	usualAnswer time.Duration
-	behind      time.Duration // how long events wait for us, a running mean
+	behind      time.Duration // running mean of how long events wait for the driver
 	linkLoad    float64       // share of the driver's link in use
-	fullAt      time.Duration // when that was last full
-	dirty       bool          // something changed that may let a task start
+	fullAt      time.Duration // when linkLoad was last above fullLink
+	dirty       bool          // a change may allow a task to start
 	lastPass    time.Duration
 	roomiest    roomiest
 	pacer       startPacer
-	turns       [classes]int // where the close look at the tail of each class goes on
+	turns       [classes]int // where the next pass resumes trying the tail of each class
 
 	out []Command
 }
 
-// afterLog runs once the entry with number seq is kept.
+// afterLog is a callback that runs once the entry with number seq is committed.
 type afterLog struct {
 	seq int64
 	do  func()
 }
 
-// New returns a scheduler that has read nothing yet.
+// New returns a scheduler that has read nothing and does not lead.
 func New(opts Options) *Scheduler {
 	return &Scheduler{
 		opts:           opts,
@@ -124,8 +128,8 @@
 	}
 }
 
-// Step applies one event at a time that never goes back, and returns what is
-// to be done. The result is valid until the next call.
+// Step applies one event at a time that never goes back, and returns the commands to
+// execute. The result is valid until the next call.
 func (s *Scheduler) Step(now time.Duration, ev Event) []Command {
 	s.now = now
 	s.out = s.out[:0]
@@ -177,27 +181,27 @@
 	s.emit(Explain{Job: job, What: what, Fields: fields})
 }
 
-// leading reports whether this scheduler may order workers.
+// leading reports whether this scheduler may send orders to workers.
 func (s *Scheduler) leading() bool { return s.fence > 0 }
 
-// proven reports whether the log has shown lately that nobody else leads.
+// proven reports whether a recent append has proved that no other host leads.
 //
-// The guard is against a leader that was cut off from the log or frozen: it
-// would go on renewing leases of workers that its successor cannot reach, and
-// the successor would start their tasks again elsewhere. It shows as one task
-// running twice. The successor waits for logProofLife and a lease from its
-// claim on, which is after the last append of its predecessor.
+// The guard is against a leader that is cut off from the log or paused: it would
+// continue to renew leases of workers that its successor cannot reach, and the
+// successor would start their tasks elsewhere. One task would then run twice. The guard
+// holds because the successor waits for logProofLife and a lease from its own claim on,
+// which is later than the last append of its predecessor.
 func (s *Scheduler) proven() bool { return s.now-s.provenAt < logProofLife }
 
-// logStalled reports whether the log has kept nothing for a while although
-// entries wait. More assignments would only queue behind them, in the order of
-// now, and take room from what is more urgent when the log is back.
+// logStalled reports whether entries are in flight and the log has committed nothing
+// for too long. More assignments would only queue behind those entries in the present
+// order, and take room from more urgent work that arrives before the log recovers.
 func (s *Scheduler) logStalled() bool {
 	stall := max(logStall, time.Duration(logStallFactor*float64(s.logTook)))
 	return s.seq > s.logged && s.now-s.unkeptAt > stall
 }
 
-// append adds an entry and returns its number.
+// append adds an entry to the next Append and returns its number.
 func (s *Scheduler) append(e *record.Entry) int64 {
 	if s.seq == s.logged {
 		s.unkeptAt = s.now
@@ -209,7 +213,7 @@
 	return s.seq
 }
 
-// afterKept runs do once the entry with the number is kept.
+// afterKept runs do once the entry with number seq is committed.
 func (s *Scheduler) afterKept(seq int64, do func()) {
 	if seq <= s.logged {
 		do()
@@ -242,8 +246,8 @@
 	}
 }
 
-// lead begins leadership. Runs of earlier leaders are taken over as their
-// workers answer.
+// lead begins leadership. Runs of earlier leaders are confirmed when their workers
+// answer.
 func (s *Scheduler) lead(fence int64) {
 	s.fence = fence
 	s.leadSince = s.now
