--- a/region/job.go
+++ b/region/job.go
@@ -10,13 +10,13 @@
 // job is one submission.
 type job struct {
 	rec        *record.Job
-	acceptedAt time.Duration // on our clock
-	writtenAt  time.Duration // when its newest whole record was written
+	acceptedAt time.Duration // on the scheduler's clock
+	writtenAt  time.Duration // when its newest complete record was written
 	cancelled  bool
 	failed     bool
-	begun      bool           // a task has started
-	queue      *queueEstimate // what its queue's tasks take
-	excess     bool           // its workspace sent more than its share when it came
+	begun      bool           // a task of it has started
+	queue      *queueEstimate // observed run times of its queue
+	excess     bool           // its workspace was above its share when the job arrived
 	occs       []*occurrence
 	objective  time.Duration // of its newest occurrence
 	nextOcc    int32         // first occurrence that has not been created
@@ -25,14 +25,14 @@
 	endedAt    time.Duration
 }
 
-// occurrence is one time that a job's steps run.
+// occurrence is one execution of a job's steps.
 type occurrence struct {
 	k     int32
 	steps []*step
 	open  int // tasks not done
 }
 
-// step is a set of equal tasks of one occurrence.
+// step is a set of identical tasks of one occurrence.
 type step struct {
 	job      *job
 	occ      *occurrence
@@ -41,18 +41,18 @@
 	request  model.Resources
 	tasks    []*task
 	open     int           // tasks not done
-	started  bool          // all steps before it are done
-	openAt   time.Duration // when that was
+	started  bool          // all steps that it depends on are done
+	openAt   time.Duration // when that became true
 	key      time.Duration // latest start that still meets the objective
-	lateAt   time.Duration // a start after this earns nothing more
+	lateAt   time.Duration // latest start that still earns partial credit
 	queued   bool          // on the ready list
 	advice   adviceState
-	blocked  string // what held it back at the last look
+	blocked  string // why it could not start in the last pass that tried it; reported as held_by
 	notUntil time.Duration
 	pressing bool // as of the newest pass
 
-	waitsFrom  time.Duration // since when a task of it waits
-	madeRoomAt time.Duration // when work was last stopped for it
+	waitsFrom  time.Duration // since when it has a waiting task
+	madeRoomAt time.Duration // when runs were last preempted for it
 }
 
 // task is one task of a step.
@@ -60,21 +60,21 @@
 	step       *step
 	index      int32
 	done       bool
-	attempts   int32         // ends that counted as failed
-	lastRun    int32         // highest run assigned
-	endedRun   int32         // highest run whose end was counted
-	checkpoint string        // newest saved progress
-	crawled    bool          // it was moved away from a slow worker once
-	run        *run          // what may be alive; nil if nothing is
-	ran        time.Duration // how long the run took that was done
-	ranOn      *worker       // where
+	attempts   int32         // runs that ended as failed
+	lastRun    int32         // highest run number assigned
+	endedRun   int32         // highest run number whose end was counted
+	checkpoint string        // newest checkpoint
+	crawled    bool          // it was moved off a slow worker once
+	run        *run          // run that may be alive; nil for none
+	ran        time.Duration // run time of the run that completed it
+	ranOn      *worker       // worker of that run
 }
 
 func (t *task) id() model.TaskID {
 	return model.TaskID{Job: t.step.job.rec.Id, Occurrence: t.step.occ.k, Step: t.step.index, Index: t.index}
 }
 
-// waiting reports whether the task is to be started.
+// waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
 func (j *job) over() bool  { return j.cancelled || j.failed || j.complete() }
@@ -83,8 +83,8 @@
 // complete reports whether every task of every occurrence is done.
 func (j *job) complete() bool { return j.openOccs == 0 && j.nextOcc >= max(j.rec.RepeatCount, 1) }
 
-// intake applies records that hosts have accepted. The first record of an id
-// counts; repeats of a submission are one job.
+// intake applies records of accepted submissions and cancellations. The first record of
+// an id counts; a repeated submission is ignored.
 func (s *Scheduler) intake(records []*record.Intake) {
 	for _, r := range records {
 		switch k := r.Kind.(type) {
@@ -118,8 +118,9 @@
 	return j
 }
 
-// acceptedAt converts a time of day of the accepting host to our clock. Clocks
-// step, so an age beyond what the log can hold is not believed.
+// acceptedAt converts a time of day of the accepting host to the scheduler's clock.
+// Clocks may step, so an age that is negative or beyond the log's retention counts as
+// 0.
 func (s *Scheduler) acceptedAt(unixMs int64) time.Duration {
 	age := time.Duration(s.unixMs-unixMs) * time.Millisecond
 	if s.unixMs == 0 || age < 0 || age > s.opts.LogRetention {
@@ -147,7 +148,7 @@
 	s.openSteps(occ)
 }
 
-// openSteps queues the steps whose predecessors are done.
+// openSteps queues the steps whose dependencies are done.
 func (s *Scheduler) openSteps(occ *occurrence) {
 	for _, st := range occ.steps {
 		if st.open == 0 || st.job.over() {
@@ -168,11 +169,12 @@
 	}
 }
 
-// setUrgency works out how late each step may start: the objective is stretch
-// times the longest chain of work from the job's acceptance, and up to three
-// times the objective still earns a part.
+// setUrgency computes the latest start of each step. A job's objective is its target
+// latency plus stretch times its critical path, counted from its acceptance or, for one
+// that runs at set times, from the creation of the occurrence. An end within
+// partialCredit objectives still earns partial credit.
 func (s *Scheduler) setUrgency(j *job, occ *occurrence) {
-	chain := make([]time.Duration, len(occ.steps)) // longest chain from the start of each step to the end
+	chain := make([]time.Duration, len(occ.steps)) // critical path from the start of each step to the end
 	for i := len(occ.steps) - 1; i >= 0; i-- {
 		own := j.runTime(occ.steps[i].rec)
 		chain[i] += own
@@ -197,8 +199,8 @@
 	}
 }
 
-// partialCredit is how many objectives after its acceptance a job still earns
-// a part of its worth.
+// partialCredit is how many objectives after its acceptance a job still earns partial
+// credit.
 const partialCredit = 3
 
 // startOccurrences creates the occurrences that are due.
@@ -217,12 +219,12 @@
 
 func (j *job) dueUnixMs(k int32) int64 { return j.rec.FirstRunUnixMs + int64(k)*j.rec.IntervalMs }
 
-// cancel ends a job at its caller's wish.
+// cancel ends a job at the request of its caller.
 func (s *Scheduler) cancel(id string) {
 	j, known := s.jobs[id]
 	if !known {
-		// The cancellation has overtaken the submission, which lies in another
-		// partition of the log.
+		// The submission is in another partition of the log and has not been
+		// read yet.
 		s.cancelledEarly[id] = s.now
 		return
 	}
@@ -234,7 +236,7 @@
 	s.close(j)
 }
 
-// fail ends a job one of whose tasks has used up its attempts.
+// fail ends a job because task t has used up its attempts.
 func (s *Scheduler) fail(j *job, t *task) {
 	if j.over() {
 		return
@@ -244,7 +246,7 @@
 	s.close(j)
 }
 
-// close stops whatever of a finished job may still run.
+// close stops the remaining runs of a job that was cancelled or has failed.
 func (s *Scheduler) close(j *job) {
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
@@ -265,7 +267,8 @@
 	s.publish(j)
 }
 
-// publish tells the job's state if it changed.
+// publish reports the job's state if it changed, and in any case when leadership
+// begins.
 func (s *Scheduler) publish(j *job) {
 	state := j.currentState()
 	if state == j.state && s.now != s.leadSince {
@@ -289,8 +292,9 @@
 	return StateQueued
 }
 
-// taskDone marks a task done, and its job complete once the end is kept: a
-// state that callers have read must survive the loss of every host.
+// taskDone marks a task done. If that completes the job, the new state is published
+// only once the end is committed: a state that callers have read must survive the loss
+// of every host.
 func (s *Scheduler) taskDone(t *task) {
 	if t.done {
 		return
@@ -325,14 +329,14 @@
 	})
 }
 
-// hasBegun reports whether a task of the job has started. What an earlier leader assigned
-// counts until its worker has answered.
+// hasBegun reports whether a task of the job has started. A run assigned by an earlier
+// leader counts as started until its worker has answered.
 func (j *job) hasBegun() bool {
 	return j.begun || j.anyRun(func(r *run) bool { return r.phase == phaseInherited })
 }
 
-// retireJobs forgets jobs whose state need not be answered any more. Late
-// repeats of a submission come within seconds, long before.
+// retireJobs removes jobs whose state can no longer be queried. Repeated submissions
+// arrive within seconds, long before that.
 func (s *Scheduler) retireJobs() {
 	n := 0
 	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusKept {
@@ -352,7 +356,7 @@
 	}
 }
 
-// anyRun reports whether one of the job's runs that may be alive is of that kind.
+// anyRun reports whether is holds for a run of the job that may be alive.
 func (j *job) anyRun(is func(*run) bool) bool {
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
--- a/region/ready.go
+++ b/region/ready.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// readyList holds the steps with tasks that wait, most urgent first: tasks that
-// last, as their users are without them, then by the queue's priority and by the
-// latest start that meets the objective.
+// readyList holds the steps with waiting tasks in order of urgency: long-running tasks
+// first, as their users have no service meanwhile, then by the queue's priority and by
+// the latest start that meets the objective.
 type readyList struct{ steps []*step }
 
 func compareSteps(a, b *step) int {
@@ -48,7 +48,7 @@
 	}
 }
 
-// anyWaiting reports whether a task of the step is to be started.
+// anyWaiting reports whether a task of the step has yet to be assigned.
 func (st *step) anyWaiting() bool {
 	for _, t := range st.tasks {
 		if t.waiting() {
--- a/region/share.go
+++ b/region/share.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// shareBurst is how many seconds of its share a workspace may send at once.
+	// shareBurst is how many seconds of its share a workspace may submit at once.
 	shareBurst = 2.0
-	// shareSlack is added to the burst, for workspaces with small shares.
+	// shareSlack is added to the burst, in jobs, for workspaces with small shares.
 	shareSlack = 5.0
 )
 
-// shares counts what each workspace sends against its share, in jobs a second.
-// A workspace that sends many times its share would otherwise push out the work
-// of all others, as its jobs are no less urgent.
+// shares limits each workspace to its share, in jobs a second. Without it, a workspace
+// that submits many times its share would displace the work of all others, as its jobs
+// are no less urgent.
 type shares struct {
 	buckets map[string]*bucket
 }
@@ -22,8 +22,8 @@
 	at     time.Duration
 }
 
-// take reports whether a job that came at a time is within the share. A share
-// of 0 is unlimited.
+// take reports whether a job that arrived at a time is within the share of perS jobs a
+// second. A share of 0 is unlimited.
 func (s *shares) take(perS float64, workspace string, at time.Duration) bool {
 	if perS <= 0 {
 		return true
@@ -48,7 +48,7 @@
 	return true
 }
 
-// share returns a workspace's share in jobs a second; 0 if it is not known.
+// share returns the share of a workspace in jobs a second; 0 if it is not known.
 func (s *Scheduler) share(workspace string) float64 {
 	if s.config == nil {
 		return 0
--- a/region/slots.go
+++ b/region/slots.go
@@ -1,7 +1,7 @@
 package region
 
-// slots numbers the workers, so that what steps know of them can lie in slices.
-// The number of a worker that left is given to a later one.
+// slots allocates a small index for each worker, which lets steps keep what they know
+// of workers in slices. The index of a removed worker is allocated again.
 type slots struct {
 	next int
 	free []int
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -8,30 +8,30 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// A worker leaves and another one gets its number. What the advice service said of
-// the first must not count for the second: its ticket is of another worker, and
-// a start with it would be refused, again and again.
+// When a worker leaves, another one gets its slot. Advice about the first must not
+// apply to the second: the ticket names another worker, and every start with it would
+// be refused.
 func TestMarksDoNotPassToALaterWorker(t *testing.T) {
 	s, now := backlog(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.order[0]
 	st.advice.note(adviceMark{worker: left, good: true, ticket: "t", until: now + time.Second})
 	if !st.ticketHolds(left, now) {
-		t.Fatal("the ticket does not hold on the worker that it is of")
+		t.Fatal("the ticket is not valid on its own worker")
 	}
 	s.forget(left)
 	came := s.workerNamed("later")
 	if came.slot != left.slot {
-		t.Fatalf("slot %d is not given out again", left.slot)
+		t.Fatalf("slot %d was not reused", left.slot)
 	}
 	if st.advice.mark(came) != nil || st.ticketHolds(came, now) {
-		t.Error("a ticket of the worker that left holds on the one that came")
+		t.Error("a ticket of the removed worker is valid on the new one")
 	}
 }
 
-// A task lasts longer than the log keeps records. Its job is written anew before
-// its records expire, the oldest first also if another partition was read before;
-// otherwise the next leader would not know of it, and its users would lose it.
+// A task may run longer than the log retains records. Its job is written again before
+// its records expire, the oldest first, in whatever order the jobs were read. Otherwise
+// the next leader would not know of the job, and its users would lose it.
 func TestOldJobsAreWrittenAnew(t *testing.T) {
 	s := New(testOptions())
 	now := time.Hour
@@ -56,6 +56,6 @@
 		}
 	}
 	if written["old"] != 1 || written["young"] != 0 {
-		t.Errorf("written anew: %v, want the old job once", written)
+		t.Errorf("rewritten jobs: %v, want the old job once", written)
 	}
 }
