--- a/region/pacer.go
+++ b/region/pacer.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// startPacer spreads starts over time, so that a backlog does not fill the driver's link at
-// once: what is sent after it, renewals of leases above all, would wait behind it, and the
-// tickets of the starts would run out on their way. It is a token bucket that may be
-// overdrawn by the last step that takes from it, as a gang starts whole.
+// startPacer limits the rate of starts. A backlog started at once would fill the
+// driver's link: lease renewals and other calls would queue behind it, and the tickets
+// of the starts would expire in transit. It is a token bucket that the last step may
+// overdraw, since a gang is started whole.
 type startPacer struct {
 	tokens float64
 	at     time.Duration
 }
 
-// pacerBurst is how long starts may save up what they do not use.
+// pacerBurst is how long unused tokens accumulate.
 const pacerBurst = 100 * time.Millisecond
 
-// refill brings the bucket to a time.
+// refill adds the tokens up to now, at a rate of perS a second.
 func (p *startPacer) refill(perS float64, now time.Duration) {
 	p.tokens = min(p.tokens+perS*(now-p.at).Seconds(), perS*pacerBurst.Seconds())
 	p.at = now
--- a/region/pacer_test.go
+++ b/region/pacer_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A leader takes over with a backlog and room for all of it. Sent at once, the starts fill a
-// narrow link for seconds: leases are not renewed in time, tickets run out on their way, and
-// all is sent again. The pattern is a burst of small jobs on an idle region.
+// A leader takes over with a backlog and room for all of it. Sent at once, the starts
+// would fill a narrow link for seconds: leases are not renewed in time, tickets expire
+// in transit, and everything is sent again. Reproduced by a burst of small jobs on an
+// idle region.
 func TestBacklogIsStartedAtTheRateOfTheLink(t *testing.T) {
 	const perS = 100
 	w := newWorld(t, 1)
--- a/region/pass.go
+++ b/region/pass.go
@@ -8,22 +8,20 @@
 )
 
 const (
-	// passEvery is the shortest time between two looks for room. Events come
-	// some hundred times a second; a pass for several of them costs as much as
-	// for one.
+	// passEvery is the shortest time between two placement passes. Several hundred
+	// events arrive in a second, and a pass for several of them costs as much as for
+	// one.
 	passEvery = 4 * time.Millisecond
-	// passPerStep lengthens that time for each step that waits: 10 ms more at
-	// 500 steps.
+	// passPerStep lengthens that time for each waiting step: by 10 ms at 500 steps.
 	passPerStep = 20 * time.Microsecond
-	// headTries and tailTries bound the steps of a class that are looked at
-	// closely in one pass without success: the most urgent ones, and as many
-	// further ones in turn, so that a step behind many that fit nowhere has its
-	// look too.
+	// headTries and tailTries bound the steps of a class on which placement fails in
+	// one pass: the most urgent ones, and as many further ones in rotation. The
+	// rotation lets a step be tried although many steps before it fit nowhere.
 	headTries = 24
 	tailTries = 24
 )
 
-// schedule starts what fits, most urgent first.
+// schedule runs a placement pass: it starts the tasks that fit, the most urgent first.
 func (s *Scheduler) schedule() {
 	if !s.leading() || s.config == nil || !s.dirty || s.now-s.lastPass < s.passPause() {
 		return
@@ -50,20 +48,20 @@
 	}
 }
 
-// roomiest is the most of each resource that is free on any one worker. A step
-// that asks for more finds no room, which is then known without a look at all
-// workers: under load most waiting steps are settled by it. Assignments make it
-// too large until it is worked out again, which only costs a close look at a step.
+// roomiest holds upper bounds of the room on any one worker. A step that asks for more
+// fits on no worker, and no worker need be checked; under load that settles most
+// waiting steps. Assignments leave the bounds too high until they are computed again,
+// which costs no more than a full check of a step.
 type roomiest struct {
 	valid     bool
-	taken     bool // room was taken since
+	taken     bool // tasks were assigned since
 	byService map[string]*roomiestOf
 }
 
 // roomiestOf is the most of each resource that is free on any worker of a service.
 type roomiestOf struct {
-	free model.Resources // on workers that no gang waits for
-	kept model.Resources // the same with those that gangs keep from late work only
+	free model.Resources // on workers without a reservation
+	kept model.Resources // also on workers that gangs reserve against late work only
 	any  model.Resources // on all workers
 }
 
@@ -124,31 +122,31 @@
 	}
 }
 
-// passPause is the shortest time between two passes: longer with more steps to
-// walk, so that a backlog does not take the processor from the answers of the
-// workers.
+// passPause is the shortest time between two passes. It grows with the number of steps
+// to check, so that a backlog does not use the processor time that answers of workers
+// need.
 func (s *Scheduler) passPause() time.Duration {
 	return passEvery + time.Duration(len(s.ready.steps))*passPerStep
 }
 
-// class ranks steps by what can still be earned.
+// class ranks steps by how much credit they can still earn.
 type class int
 
 const (
 	classOnTime  class = iota // the objective can be met
-	classExcess               // so can it, but the workspace sends more than its share
-	classPartial              // late, yet worth a part
-	classRest                 // nothing is earned any more; it is owed all the same
+	classExcess               // the same, but the workspace is above its share
+	classPartial              // late, but with partial credit
+	classRest                 // no credit any more; still to be run
 	classes
 )
 
-// classOf returns the step's class now. Under overload the steps that can still
-// meet their objective go first: by deadline alone, each would start just when
-// it is too late, and none would be on time.
+// classOf returns the step's class now. Under overload, steps that can still meet their
+// objective go first: ordered by deadline alone, each step would start just when it is
+// too late, and none would be on time.
 func (s *Scheduler) classOf(st *step) class {
 	switch {
 	case st.rec.LongRunning:
-		return classOnTime // it is to be at work at any time, not by an objective
+		return classOnTime // it has no objective and is to run at any time
 	case s.now > st.lateAt:
 		return classRest
 	case s.now > st.key:
@@ -159,8 +157,8 @@
 	return classOnTime
 }
 
-// byClass splits the ready steps, each class in the order of urgency. Steps
-// that have nothing to start any more leave the list.
+// byClass splits the ready steps into classes, each in the order of urgency, and
+// removes steps with nothing to start.
 func (s *Scheduler) byClass() [classes][]*step {
 	var out [classes][]*step
 	keep := s.ready.steps[:0]
@@ -179,7 +177,7 @@
 	return out
 }
 
-// pass starts what fits of some steps.
+// pass starts what fits of the steps of class c.
 func (s *Scheduler) pass(steps []*step, c class) {
 	gangs, tries := 0, 0
 	turn := s.turns[c]
@@ -226,7 +224,8 @@
 	}
 }
 
-// place starts what it can of a step and reports whether nothing of it waits.
+// place starts what fits of a step. It reports whether the pass needs no reservation or
+// preemption for it: no task of it waits or, for a gang, more room would not help.
 func (s *Scheduler) place(st *step) bool {
 	if st.rec.Gang {
 		return s.placeGang(st)
--- a/region/place.go
+++ b/region/place.go
@@ -21,11 +21,11 @@
 
 var reasonNames = [reasons]string{"fits", "service", "state", "label", "advice", "room", "spread", "interference", "reserved", "apart"}
 
-// rejected counts workers by what each filter rejected.
+// rejected counts workers by the filter that rejected them.
 type rejected [reasons]int
 
-// summary names the filter that rejected most of the workers that the step
-// could use at all.
+// summary names the filter that rejected the most workers of the step's service, or the
+// service filter if there are none.
 func (r *rejected) summary() string {
 	best := rejectState
 	for i := rejectState; i < reasons; i++ {
@@ -39,8 +39,8 @@
 	return reasonNames[best]
 }
 
-// explainPlaced logs the tasks of a step that were assigned in this pass, with
-// what decided it.
+// explainPlaced logs the tasks of a step that this pass assigned, with the inputs of
+// the decision.
 func (s *Scheduler) explainPlaced(st *step, workers []string) {
 	if len(workers) == 0 {
 		return
@@ -72,7 +72,7 @@
 		s.assign(t, w, t.lastRun+1)
 		s.roomiest.taken = true
 		placed = append(placed, w.entry.ID)
-		// The assignment changes nothing for the step on any other worker.
+		// The assignment doesn't change the feasibility of any other worker for this step.
 		if rejection := s.reject(st, w); rejection != fits {
 			why = reasonNames[rejection]
 			fitting = slices.Delete(fitting, at, at+1)
@@ -81,8 +81,8 @@
 	st.blocked = ""
 }
 
-// fitting returns the workers that can take a task of the step now, or the main
-// reason why there is none. The result is valid until the next call.
+// fitting returns the workers that can take a task of the step now, and the main reason
+// for which others cannot. The result is valid until the next call.
 func (s *Scheduler) fitting(st *step) ([]*worker, string) {
 	var counts rejected
 	s.scratch = s.scratch[:0]
@@ -99,7 +99,7 @@
 	return s.scratch, counts.summary()
 }
 
-// best returns the place of the worker that suits the step best.
+// best returns the index of the worker with the highest score for the step.
 func (s *Scheduler) best(st *step, fitting []*worker) int {
 	best := 0
 	bestScore := s.score(st, fitting[0])
@@ -111,8 +111,8 @@
 	return best
 }
 
-// reject is the chain of filters that a worker passes before a task goes
-// there, the cheapest and most decisive ones first.
+// reject is the feasibility check of a worker for a task of the step. Cheap and
+// decisive filters come first.
 func (s *Scheduler) reject(st *step, w *worker) reason {
 	switch {
 	case w.entry.Service != st.job.rec.Policy.GetService():
@@ -137,14 +137,14 @@
 	return fits
 }
 
-// passesReserved reports whether the step may use workers where a gang collects
-// room: urgent small tasks that can still be on time, as they are over soon, and
-// tasks that last, which come before all else.
+// passesReserved reports whether the step may use workers that are reserved for a gang:
+// urgent small tasks that can still be on time, as they end soon, and long-running
+// tasks, which precede all other work.
 func (s *Scheduler) passesReserved(st *step) bool {
 	return st.rec.LongRunning || st.job.rec.Policy.GetPriority() == 0 && s.now <= st.key
 }
 
-// admits reports whether the step may use a worker for which gangs wait.
+// admits reports whether the reservations of the worker let the step use it.
 func (s *Scheduler) admits(w *worker, st *step) bool {
 	if w.reserved != nil && w.reserved != st && !s.passesReserved(st) {
 		return false
@@ -152,7 +152,7 @@
 	return w.kept == nil || w.kept == st || s.classOf(st) <= classExcess
 }
 
-// usable reports whether new work may go to the worker at all.
+// usable reports whether the worker may get new work at all.
 func (s *Scheduler) usable(w *worker) bool {
 	return w.listed && !w.entry.Draining && w.fenced && !w.overdue &&
 		s.now-w.lookedAt < reachable && s.now >= w.pausedTo && w.health.trusted(s.now)
@@ -169,9 +169,9 @@
 	return n
 }
 
-// disturbs reports whether the step and what runs on the worker would disturb
-// each other: tasks that fill slow down tasks that serve users under a latency
-// target, by amounts that nobody declares.
+// disturbs reports whether the step and the runs on the worker would interfere. Tasks
+// that fill (best-effort tasks on leftover processors) slow down tasks that serve users
+// under a latency target, by amounts that nobody declares.
 func (st *step) disturbs(w *worker) bool {
 	if !st.rec.Fills && st.rec.TargetMs == 0 {
 		return false
@@ -185,8 +185,7 @@
 	return false
 }
 
-// withinCap reports whether n more tasks keep the workspace within its upper
-// limit.
+// withinCap reports whether n more tasks keep the workspace within its cap.
 func (s *Scheduler) withinCap(st *step, n int64) bool {
 	ws, known := s.config.Workspaces[st.job.rec.Workspace]
 	if !known {
@@ -199,14 +198,14 @@
 
 func under(value, limit int64) bool { return limit <= 0 || value <= limit }
 
-// Weights of the score, in the unit of one thousandth of a core left over.
+// Weights of the score, in thousandths of a core left free.
 const (
-	nearDataBonus   = 1e6 // on the data's rack a task takes a half or a third of the time
-	reservedPenalty = 1e5 // small urgent tasks go to workers that no gang waits for, if they can
+	nearDataBonus   = 1e6 // a task on its data's rack takes a half or a third of the time
+	reservedPenalty = 1e5 // small urgent tasks use workers without a reservation where they can
 )
 
-// score ranks workers that fit: the one that is left with the least room is
-// best, so that large holes stay for large tasks.
+// score ranks workers that fit. It is best fit: the worker that is left with the least
+// free processors comes first, which keeps large holes for large tasks.
 func (s *Scheduler) score(st *step, w *worker) float64 {
 	score := -float64(w.free().MilliCPU - st.request.MilliCPU)
 	if st.rec.Affinity != "" && w.entry.HasLabel(st.rec.Affinity) {
@@ -218,12 +217,12 @@
 	return score + st.speedScore(w) + s.apartScore(st, w) - w.health.penalty(s.now)
 }
 
-// speedWeight is what a worker counts for that is e times as fast as the others, in
-// thousandths of a core left over.
+// speedWeight is the weight of the speed of a worker that is e times as fast as the
+// others, in thousandths of a core left free.
 const speedWeight = 2e4
 
-// speedScore puts pressing work on fast workers, where it still ends in time, and leaves
-// it the fast ones by putting work that can wait on slow ones.
+// speedScore prefers fast workers for pressing work, which then still ends in time, and
+// slow workers for all other work, which leaves the fast ones free.
 func (st *step) speedScore(w *worker) float64 {
 	if st.pressing {
 		return speedWeight * w.speed.log
--- a/region/preempt.go
+++ b/region/preempt.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// lastingPatience is how long a task that lasts waits for room to come free
-	// before other work is stopped for it: it is to be at work again within 3 s,
-	// and a stop and a start take up to one.
+	// lastingPatience is how long a long-running task waits for free room before runs
+	// are preempted for it. It is to run again within 3 s, and a stop and a start take
+	// up to 1 s.
 	lastingPatience = time.Second
-	// makeRoomEvery is how often work is stopped for one step: a stop takes most
-	// of a second to show.
+	// makeRoomEvery is the shortest time between two preemptions for one step: a stop
+	// takes most of a second to take effect.
 	makeRoomEvery = time.Second
 )
 
-// makeRoom stops work for a task that lasts and finds no room: it serves users
-// of its own, who are without it meanwhile. Runs that lose least are stopped on
-// the one worker where that loses least.
+// makeRoom preempts runs for a long-running task that finds no room, since its users
+// have no service meanwhile. It chooses the worker, and the runs on it, with the least
+// loss.
 func (s *Scheduler) makeRoom(st *step) {
 	if !st.rec.LongRunning || s.now-st.waitsFrom < lastingPatience || s.now-st.madeRoomAt < makeRoomEvery || !s.withinCap(st, 1) {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// victims returns the runs to stop on a worker so that one task of the step
-// fits, and the core-time that is lost by it.
+// victims returns the runs to stop on a worker to let one task of the step fit, and the
+// core-time lost by it. ok is false if that is not enough.
 func (s *Scheduler) victims(st *step, w *worker) (victims []*run, loss time.Duration, ok bool) {
 	candidates := s.stoppable(w)
 	free := w.free()
@@ -65,9 +65,9 @@
 	return victims, loss, st.room().Fits(free) && (st.rec.AntiAffinity == 0 || st.runsOn(w) < int(st.rec.AntiAffinity))
 }
 
-// stoppable returns the runs on a worker that may be stopped for others, the
-// least loss first: none that lasts, as its users would be without it, and none
-// of a gang, as all its members would end.
+// stoppable returns the runs on a worker that may be preempted, the least loss first.
+// Excluded are long-running tasks, whose users would have no service, and gang members,
+// as all members would end.
 func (s *Scheduler) stoppable(w *worker) []*run {
 	var out []*run
 	for _, r := range w.sortedRuns() {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// lossOf is the core-time that stopping a run throws away.
+// lossOf returns the core-time that stopping a run wastes.
 func (s *Scheduler) lossOf(r *run) time.Duration {
 	if r.task.step.rec.Checkpointing {
 		return 0
