--- a/region/gang.go
+++ b/region/gang.go
@@ -2,7 +2,8 @@
 
 import "github.com/fireflyfold/fireflyfold/record"
 
-// gangDone marks all members done: the end of one stands for all.
+// gangDone marks all members of a gang done, since the end of one member as done counts
+// for all.
 func (s *Scheduler) gangDone(t *task, number int32) {
 	if !t.step.rec.Gang {
 		return
@@ -18,7 +19,7 @@
 	}
 }
 
-// breakGang stops the other members of a run of which one has ended.
+// breakGang stops the other members of a run after one member has ended.
 func (s *Scheduler) breakGang(t *task, number int32) {
 	if !t.step.rec.Gang {
 		return
@@ -30,7 +31,7 @@
 	}
 }
 
-// gangWaits reports whether the whole gang waits to be started.
+// gangWaits reports whether every member of the gang waits to be started.
 func (st *step) gangWaits() bool {
 	for _, t := range st.tasks {
 		if !t.waiting() {
@@ -40,7 +41,7 @@
 	return true
 }
 
-// nextGangRun returns the number of the gang's next run; members share it.
+// nextGangRun returns the number of the gang's next run, which all members share.
 func (st *step) nextGangRun() int32 {
 	var highest int32
 	for _, t := range st.tasks {
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// reservedGangs is how many gangs collect room at a time. Each keeps other
-	// batch work off a few workers while it waits.
+	// reservedGangs is how many gangs at a time reserve workers against all other batch
+	// work. Each keeps that work off a few workers while it waits.
 	reservedGangs = 2
-	// keptGangs is how many further gangs that can still be on time collect room
-	// before work that is late already. As many as come in the time that one
-	// needs to collect, about 2 a second for 3 s.
+	// keptGangs is how many further gangs that can still be on time reserve workers
+	// against late work. It is the number of gangs that arrive while one collects its
+	// room: about 2 a second for 3 s.
 	keptGangs = 6
-	// soonFree is how far ahead a gang counts room that running tasks are
-	// expected to free.
+	// soonFree is how far ahead a gang counts room that running tasks are expected to
+	// free.
 	soonFree = 4 * time.Second
 )
 
-// placeGang starts all tasks of a gang or none.
+// placeGang starts all tasks of a gang or none. It returns true if the gang needs no
+// reservation: it was started, or more room would not help.
 func (s *Scheduler) placeGang(st *step) bool {
 	if !st.gangWaits() {
-		return true // members of the last run are still to end
+		return true // members of the last run have not ended yet
 	}
 	n := len(st.tasks)
 	if !s.withinCap(st, int64(n)) {
 		st.blocked = "cap"
-		return true // room does not help: nothing is to be reserved
+		return true // more room does not help, so nothing is reserved
 	}
 	chosen, why := s.gangWorkers(st, "")
 	if st.rec.SameRack {
@@ -52,8 +53,8 @@
 	return true
 }
 
-// oneRack tries to place a gang on one rack; across racks its tasks take a
-// multiple of the time.
+// oneRack places a gang on one rack if any has room, else across racks, where its tasks
+// take a multiple of the time.
 func (s *Scheduler) oneRack(st *step) ([]*worker, string) {
 	tried := make(map[string]bool)
 	for _, w := range s.order {
@@ -69,8 +70,8 @@
 	return s.gangWorkers(st, "")
 }
 
-// gangWorkers chooses a worker for each member, on one rack if rack is not
-// empty: first those that take the most members.
+// gangWorkers chooses a worker for each member, on one rack if rack is not empty, or
+// returns the main reason why there is too little room.
 func (s *Scheduler) gangWorkers(st *step, rack string) ([]*worker, string) {
 	var (
 		counts rejected
@@ -99,9 +100,9 @@
 	return spreadGang(uniform(places, len(st.tasks)), len(st.tasks)), ""
 }
 
-// uniform returns the places of those that have room for all members whose workers differ
-// least in speed: a gang is as slow as its slowest member, and the room of the faster ones
-// is held for nothing meanwhile. Among sets that are as good the faster one counts.
+// uniform returns the places with room for all members whose workers differ least in
+// speed. A gang is as slow as its slowest member, and the room of faster members is
+// held idle meanwhile. Of sets that differ equally the fastest is chosen.
 func uniform(places []gangPlace, members int) []gangPlace {
 	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.log, a.worker.speed.log) })
 	var (
@@ -123,18 +124,18 @@
 	return best
 }
 
-// speedTolerance is a difference in speed that does not count.
+// speedTolerance is a difference in speed, as a logarithm, that is ignored.
 const speedTolerance = 0.03
 
-// gangPlace is a worker and how many members it takes.
+// gangPlace is a worker and how many members of a gang fit on it.
 type gangPlace struct {
 	worker *worker
 	n      int
-	apart  float64 // rank by the other work there
+	apart  float64 // rank by the other work there, from apartScore
 }
 
-// before reports whether a gang rather takes a: by the other work there, then
-// those that take the most members.
+// before reports whether a gang prefers a to b: first by the other work there, then by
+// how many members fit.
 func (a gangPlace) before(b gangPlace) bool {
 	if a.apart != b.apart {
 		return a.apart > b.apart
@@ -142,7 +143,8 @@
 	return a.n > b.n
 }
 
-// spreadGang takes the places that are left with the least room first.
+// spreadGang assigns the members to places, filling each place before the next, in the
+// order of before.
 func spreadGang(places []gangPlace, members int) []*worker {
 	chosen := make([]*worker, 0, members)
 	for len(chosen) < members {
@@ -176,12 +178,12 @@
 	return int(max(n, 0))
 }
 
-// reserve keeps other batch work off the workers where a gang can soonest have
-// room, as many as it needs. Without it small tasks take every hole that a wide
-// gang waits for, and it starts only when the load falls. Workers that were
-// reserved for the gang before come first: room that was collected on one worker
-// is lost when the gang moves to another. The first gangs reserve against all but
-// urgent small tasks, further ones against late work alone.
+// reserve keeps other batch work off the workers where a gang can have room soonest, as
+// many as it needs. Without it, small tasks take every hole that a wide gang needs, and
+// the gang starts only when the load falls. Workers already reserved for the gang come
+// first, since the room collected on a worker is lost when the gang moves to another.
+// The first gangs reserve firmly, against all but urgent small and long-running tasks;
+// further gangs reserve against late work alone.
 func (s *Scheduler) reserve(st *step, firmly bool) {
 	var places []gangPlace
 	for _, w := range s.usableNow {
@@ -211,7 +213,7 @@
 	}
 }
 
-// prefers reports whether a gang rather collects room at a than at b.
+// prefers reports whether the gang reserves a rather than b.
 func (st *step) prefers(a, b gangPlace) bool {
 	if keepA, keepB := a.worker.wasReserved == st, b.worker.wasReserved == st; keepA != keepB {
 		return keepA
@@ -219,15 +221,15 @@
 	return a.n > b.n
 }
 
-// suits reports whether the worker could ever run the step.
+// suits reports whether the worker could run the step if it were empty.
 func (s *Scheduler) suits(st *step, w *worker) bool {
 	return w.entry.Service == st.job.rec.Policy.GetService() &&
 		(st.rec.Requires == "" || w.entry.HasLabel(st.rec.Requires)) &&
 		!st.ruledOut(w) && st.room().Fits(w.entry.Capacity)
 }
 
-// freedWithin returns the room of the runs on a worker that are expected to end
-// within a time.
+// freedWithin returns the room of the runs on a worker that are expected to end within
+// a time.
 func (s *Scheduler) freedWithin(w *worker, within time.Duration) model.Resources {
 	var sum model.Resources
 	for _, r := range w.runs {
