--- a/region/learn.go
+++ b/region/learn.go
@@ -7,23 +7,23 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// estimates corrects declared run times by what was seen: declared ones are up
-// to 90% off, and off in the same way for all jobs of a queue.
+// estimates corrects declared run times by observed ones. Declared run times are up to
+// 90% off, in the same direction for all jobs of a queue.
 type estimates struct {
 	byQueue map[string]*queueEstimate
 }
 
-// queueEstimate is a running mean of real over declared run time.
+// queueEstimate holds the observed run times of a queue.
 type queueEstimate struct {
-	ratio float64
-	usual time.Duration // running mean of real run times; 0 before the first
-	n     float64
+	ratio float64       // running mean of observed over declared run time
+	usual time.Duration // running mean of observed run times; 0 before the first
+	n     float64       // ends in the means, at most estimateMemory
 }
 
 const (
 	// estimateMemory is how many ends a running mean spans.
 	estimateMemory = 50
-	// fallbackRunTime stands in for a run time that was not declared.
+	// fallbackRunTime is assumed where no run time was declared.
 	fallbackRunTime = time.Second
 )
 
@@ -39,7 +39,7 @@
 	return q
 }
 
-// runTime returns how long a task of the step is expected to run.
+// runTime returns the expected run time of a task of the step.
 func (j *job) runTime(st *record.Step) time.Duration {
 	declared := time.Duration(st.EstimateMs) * time.Millisecond
 	if declared <= 0 {
@@ -48,7 +48,8 @@
 	return time.Duration(float64(declared) * j.queue.ratio)
 }
 
-// expectedEnd returns when a run is expected to end.
+// expectedEnd returns when a run is expected to end; the run of a long-running task
+// never is.
 func (r *run) expectedEnd() time.Duration {
 	if r.task.step.rec.LongRunning {
 		return 1<<62 - 1
@@ -60,7 +61,8 @@
 	return from + r.task.step.runTimeOn(r.worker)
 }
 
-// learn takes an end into account.
+// learn updates the health of the run's worker and the estimates of its queue with the
+// end of a run.
 func (s *Scheduler) learn(r *run, outcome record.Outcome) {
 	switch outcome {
 	case record.Outcome_OUTCOME_DONE:
@@ -84,14 +86,15 @@
 	}
 }
 
-// stallAfter is how long a run may show no progress. Looks are up to 0.8 s apart,
-// and the slowest sound tasks gain a percent in a second.
+// stallAfter is how long a run may show no progress. Heartbeats are up to 0.8 s apart,
+// and the slowest healthy tasks gain one percent in a second.
 const stallAfter = 1500 * time.Millisecond
 
-// progress notes how far a run is, and stops one that stands still: a worker on
-// which tasks hang looks sound, as it answers and fails nothing. The run counts
-// as no attempt and goes on elsewhere from its checkpoint. A gang's members are
-// left alone: their progress does not tell which of them hangs.
+// progress records the progress of a run and stops a run without progress. A worker on
+// which tasks hang otherwise seems healthy, as it answers and no task on it fails. The
+// stop does not count as an attempt, and the task continues elsewhere from its
+// checkpoint. Gang members are not stopped, because their progress does not show which
+// of them hangs.
 func (s *Scheduler) progress(r *run, row model.Running) {
 	st := r.task.step.rec
 	if row.Percent != r.percent || r.movedAt == 0 {
@@ -112,23 +115,23 @@
 }
 
 const (
-	// crawlFactor times as long as expected is what a run must seem to take to count
-	// as crawling: real run times spread to two and a half times their mean, and
-	// sound workers are up to 1.6 times as fast as each other.
+	// crawlFactor is how many times its expected run time a run must be projected to
+	// take to count as a straggler. Real run times reach two and a half times their
+	// mean, and healthy workers are up to 1.6 times as fast as each other.
 	crawlFactor = 4
-	// crawlAfter is how long a run is watched before its pace is believed.
+	// crawlAfter is how long a run must have run before its progress is projected.
 	crawlAfter = 300 * time.Millisecond
-	// crawlLearned is how many ends of a queue are known before its usual run time
-	// is believed.
+	// crawlLearned is how many ends of a queue are needed before its run times are used
+	// for this.
 	crawlLearned = 10
 )
 
-// crawls reports whether a run goes so slowly that it is over sooner if it is
-// started again elsewhere. Its worker is slow then: it answers and fails nothing,
-// and what runs there takes many times as long, so that urgent work comes too late.
+// crawls reports whether a run is a straggler that would end sooner if it were started
+// again elsewhere. Its worker is then slow: it answers and no task on it fails, but
+// runs there take many times as long, and urgent work ends too late.
 //
-// A task is moved once: one that really takes that long would otherwise be stopped
-// again and again and never end.
+// A task is moved at most once. One that really takes that long would otherwise be
+// stopped again and again and never end.
 func (s *Scheduler) crawls(r *run) bool {
 	ran := s.now - r.startedAt
 	st := r.task.step
@@ -142,21 +145,21 @@
 }
 
 const (
-	// quarantineAfter is how many failures in a row, with no success between,
-	// take a worker out: one in twenty tasks fails by its own fault at most, so
-	// that three in a row happen once in 8,000 on a sound worker.
+	// quarantineAfter is how many failures in a row, without a success between, put a
+	// worker into quarantine. At most one task in twenty fails by its own fault, so
+	// three in a row occur once in 8,000 cases on a healthy worker.
 	quarantineAfter = 3
-	// quarantineFirst is the first time out; it doubles with each further
-	// failure up to quarantineMost.
+	// quarantineFirst is the first time in quarantine. It doubles with each further
+	// failure, up to quarantineMost.
 	quarantineFirst = 2 * time.Second
 	quarantineMost  = 16 * time.Second
 )
 
-// health is what a worker's own acts say of it. A worker that fails all it
-// starts is always idle and would draw all work.
+// health tracks the failures of a worker. A worker that fails every task it starts is
+// always idle and would attract all work.
 type health struct {
-	failures int // in a row
-	outTo    time.Duration
+	failures int           // in a row
+	outTo    time.Duration // end of the quarantine
 }
 
 func (h *health) done() { *h = health{} }
@@ -170,15 +173,16 @@
 	h.outTo = now + min(out, quarantineMost)
 }
 
-// stalled takes a worker out on which a task hangs: the next one would too.
+// stalled puts a worker on which a task hangs into quarantine, since the next task
+// would hang too.
 func (h *health) stalled(now time.Duration) { h.outTo = max(h.outTo, now+quarantineFirst) }
 
 func (h *health) refused(now time.Duration) { h.failed(now) }
 
 func (h *health) trusted(now time.Duration) bool { return now >= h.outTo }
 
-// failurePenalty ranks a worker with fresh failures behind others, in
-// thousandths of a core.
+// failurePenalty ranks a worker with recent failures behind others, in thousandths of a
+// core for each failure.
 const failurePenalty = 5000
 
 func (h *health) penalty(time.Duration) float64 { return float64(h.failures) * failurePenalty }
--- a/region/speed.go
+++ b/region/speed.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// speed is what is known of how fast a worker works, against the others: the natural
-// logarithm of the ratio. Workers of one size and label may differ by half; the members of
-// a gang end with the slowest of them, so that the room of the faster ones is held for
-// nothing, and urgent work on a slow worker is late from its start.
+// speed estimates how fast a worker is relative to the others, as the natural logarithm
+// of the ratio. Workers of one size and label may differ by half. A gang ends with its
+// slowest member, and the room of faster members is held idle meanwhile; urgent work on
+// a slow worker is late from its start.
 type speed struct {
 	log    float64
-	weight float64 // of the samples in it
+	weight float64 // total weight of its samples
 }
 
 const (
-	// gangSample and taskSample are the weights of a sample. Members of a gang all have
-	// the same work, the tasks of other steps do not.
+	// gangSample and taskSample are the weights of a sample. The members of a gang all
+	// have the same amount of work, the tasks of other steps do not.
 	gangSample = 4
 	taskSample = 0.5
-	// priorSample is the weight of the belief that a worker is as fast as the others.
+	// priorSample is the weight of the initial estimate that a worker is as fast as the
+	// others.
 	priorSample = 1
-	// speedMemory bounds the weight of what was seen before, so that a worker that turns
-	// slow is found out.
+	// speedMemory bounds the weight of earlier samples, so that a worker that becomes
+	// slow is detected.
 	speedMemory = 12
-	// mostSpeed bounds a sample: beyond it a worker is in trouble, and how much does not
-	// matter.
+	// mostSpeed bounds a sample, as a logarithm. A worker beyond it has a fault, and
+	// how large the difference is does not matter.
 	mostSpeed = 1.5
-	// leastCompared is how many runs are compared at least, and leastPercent how far a
-	// member of a gang must be for its progress to tell its speed.
+	// leastCompared is the least number of runs that are compared, and leastPercent the
+	// least progress at which a gang member counts.
 	leastCompared = 3
 	leastPercent  = 15
 )
 
-// sample takes a sample into account.
+// sample adds a sample to the estimate.
 func (v *speed) sample(log, weight float64) {
 	log = min(max(log, -mostSpeed), mostSpeed)
 	v.weight = min(v.weight+weight, speedMemory)
 	v.log += (log - v.log) * weight / (v.weight + priorSample)
 }
 
-// paceOf is how fast one run was: work in a time, in any unit that its step's runs share.
+// paceOf is the speed of one run, as the logarithm of work per time in a unit that all
+// runs of its step share.
 type paceOf struct {
 	worker *worker
 	log    float64
 }
 
-// learnSpeeds compares the runs of one step. What they have in common is the median, which
-// a few workers in trouble do not move.
+// learnSpeeds compares the runs of one step. The amount of work that they share is
+// estimated by the median, which a few faulty workers do not move.
 func learnSpeeds(runs []paceOf, weight float64) {
 	if len(runs) < leastCompared {
 		return
@@ -64,8 +66,8 @@
 	}
 }
 
-// learnFromGang compares the members of a gang's run by how far each of them was when it
-// was last looked at. All have worked since the last of them was there.
+// learnFromGang compares the members of a gang's run by their last reported progress,
+// counted from the start of the last member, when all began to work.
 func (s *Scheduler) learnFromGang(st *step, number int32) {
 	var began time.Duration
 	for _, t := range st.tasks {
@@ -82,8 +84,8 @@
 	learnSpeeds(runs, gangSample)
 }
 
-// learnFromStep compares the tasks of a step by how long each of them took, once all are
-// done: before, those that are quick by themselves would seem to be on fast workers.
+// learnFromStep compares the tasks of a step by their run times once all are done.
+// Compared earlier, short tasks would seem to have run on fast workers.
 func (s *Scheduler) learnFromStep(st *step) {
 	if st.rec.Gang {
 		return
@@ -97,7 +99,7 @@
 	learnSpeeds(runs, taskSample)
 }
 
-// runTimeOn returns how long a task of the step is expected to run on a worker.
+// runTimeOn returns the expected run time of a task of the step on a worker.
 func (st *step) runTimeOn(w *worker) time.Duration {
 	return time.Duration(float64(st.job.runTime(st.rec)) * math.Exp(-w.speed.log))
 }
--- a/region/speed_test.go
+++ b/region/speed_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// speedWorkers returns workers and how fast they are: a third each 0.8, 1 and 1.25.
+// speedWorkers returns n workers and their speeds: a third each has 0.8, 1 and 1.25.
 func speedWorkers(n int) ([]*worker, map[*worker]float64) {
 	speeds := make(map[*worker]float64)
 	var all []*worker
@@ -21,19 +21,19 @@
 	return all, speeds
 }
 
-// ratio is how many times as fast as b a is believed to be.
+// ratio returns how many times as fast as b a is estimated to be.
 func ratio(a, b *worker) float64 { return math.Exp(a.speed.log - b.speed.log) }
 
-// Workers of one size and label differ by half in speed, and nothing tells it but how far
-// the members of gangs are. One worker reports progress that is not true: it must not move
-// what is believed of the others.
+// Workers of one size and label differ by half in speed, and only the progress of gang
+// members shows it. One worker reports false progress, which must not change the
+// estimates of the others.
 func TestSpeedsAreLearnedFromGangs(t *testing.T) {
 	workers, speeds := speedWorkers(30)
 	for round := range 30 {
 		var runs []paceOf
 		for i := range 8 {
 			w := workers[(round*7+i*11)%len(workers)]
-			speed := speeds[w] * 100 / float64(round+1) // each gang's work is of its own length
+			speed := speeds[w] * 100 / float64(round+1) // the amount of work differs between gangs
 			if w == workers[5] {
 				speed *= 1000
 			}
@@ -43,12 +43,12 @@
 	}
 	for i := 6; i+2 < len(workers); i += 3 {
 		if got := ratio(workers[i+2], workers[i]); got < 1.4 || got > 1.7 {
-			t.Errorf("%s is believed to be %.2f times as fast as %s, want 1.56", workers[i+2].entry.ID, got, workers[i].entry.ID)
+			t.Errorf("%s is estimated to be %.2f times as fast as %s, want 1.56", workers[i+2].entry.ID, got, workers[i].entry.ID)
 		}
 	}
 }
 
-// A worker turns five times slower. What was learned before must not outweigh it.
+// A worker becomes five times slower. Earlier samples must not outweigh that.
 func TestWorkerThatTurnsSlowIsFoundOut(t *testing.T) {
 	workers, speeds := speedWorkers(6)
 	play := func(rounds int) {
@@ -64,21 +64,22 @@
 	speeds[workers[0]] /= 5
 	play(4)
 	if got := ratio(workers[0], workers[3]); got > 0.5 {
-		t.Errorf("after four gangs a worker that is five times slower counts as %.2f times as fast", got)
+		t.Errorf("after four gangs a worker that became five times slower is estimated to be %.2f times as fast", got)
 	}
 }
 
-// Two runs tell nothing: which of them is the slow one?
+// Two runs do not show which of them is slow.
 func TestTwoRunsTellNoSpeed(t *testing.T) {
 	workers, _ := speedWorkers(2)
 	learnSpeeds([]paceOf{{workers[0], 0}, {workers[1], 1}}, gangSample)
 	if workers[0].speed != (speed{}) || workers[1].speed != (speed{}) {
-		t.Errorf("%+v, %+v", workers[0].speed, workers[1].speed)
+		t.Errorf("speeds %+v, %+v, want no estimate", workers[0].speed, workers[1].speed)
 	}
 }
 
-// A gang on workers of all speeds is as slow as its slowest member and holds the room of
-// the fast ones for nothing. Where one speed has room for all members, they go there.
+// A gang on workers of different speeds is as slow as its slowest member and holds the
+// room of the fast ones idle. If the workers of one speed have room for all members,
+// the gang goes there.
 func TestGangGoesToWorkersAlike(t *testing.T) {
 	workers, speeds := speedWorkers(12)
 	var places []gangPlace
@@ -100,9 +101,9 @@
 	}
 }
 
-// Urgent tasks that are placed on slow workers are late from their start, while slow work
-// sits on the fast ones. The pattern is a region with a third of its workers each slow,
-// usual and fast, and both kinds of work.
+// Urgent tasks on slow workers are late from their start while other work occupies the
+// fast ones. A third each of the workers is slow, usual and fast, and both kinds of
+// work are submitted.
 func TestUrgentWorkGoesToFastWorkers(t *testing.T) {
 	w := mixedWorld(t, 3)
 	for i, log := range []float64{-0.22, 0, 0.22} {
@@ -119,7 +120,7 @@
 	}
 }
 
-// The same where the scheduler places the gang.
+// The same rule for a gang that a pass places.
 func TestGangIsPlacedOnWorkersAlike(t *testing.T) {
 	w := mixedWorld(t, 6)
 	for i := range 6 {
