--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A task is done, its worker lists the end, and the answer that tells of it waits in the
-// leader's own full link for longer than the lease. The leader took the run for dead and
-// started the task again. It waits for the worker as long as its link is full, but no
-// longer than congestedPatience: the worker may really be gone.
+// A task is done and its worker reports the end, but the answer waits in the leader's
+// own saturated link for longer than the lease. A leader that then counts the run as
+// lost starts the task again. It waits for the worker while its link is full, but at
+// most for congestedPatience, since the worker may really be gone.
 func TestLeaseThatEndsWhileTheLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
@@ -24,13 +24,13 @@
 				return w.now - over
 			}
 		}
-		t.Fatal("the run is never lost")
+		t.Fatal("the run was not counted as lost within 10 s")
 		return 0
 	}
 	if got := lostAfter(0); got > time.Second {
-		t.Errorf("lost %v after the end of its lease with the link free", got)
+		t.Errorf("run lost %v after its lease expired with the link free, want at most 1 s", got)
 	}
 	if got := lostAfter(1); got < congestedPatience/2 || got > congestedPatience+time.Second {
-		t.Errorf("lost %v after the end of its lease with the link full, want some %v", got, congestedPatience)
+		t.Errorf("run lost %v after its lease expired with the link full, want about %v", got, congestedPatience)
 	}
 }
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -7,22 +7,22 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// laneGap times as long is too long to wait behind: queues whose calls for advice
-// differ by more get lanes of their own.
+// laneGap is the ratio between the lengths of advice calls of two queues above which
+// the queues get separate lanes.
 const laneGap = 3
 
-// lanes part the calls for advice by length. The service answers the calls of one
-// host one after the other, so that a call behind one that is many times as long
-// waits many times its own length, and work that is quick to advise on starts too
-// late. Each lane but the first leaves some hosts to the shorter calls. The lanes
-// follow from the queues that are configured: a region whose calls are all alike
-// has one lane and uses every host for it.
+// lanes groups the queues by the length of their advice calls. The advice service
+// answers the calls of one host in sequence, so that a call sent after a much longer
+// one waits many times its own length, and work whose advice is quick starts too late.
+// Each lane but the first leaves some hosts to shorter calls. Lanes follow from the
+// configured queues: if all calls are of similar length there is one lane, which uses
+// every host.
 type lanes struct {
 	byQueue map[string]int
 	n       int
 }
 
-// lanesOf works out the lanes of a configuration.
+// lanesOf computes the lanes of a configuration.
 func lanesOf(c *model.Config) lanes {
 	l := lanes{byQueue: make(map[string]int)}
 	type queueCost struct {
@@ -47,12 +47,12 @@
 	return l
 }
 
-// first returns the first of the hosts that a call of the queue may use: all are
-// open to the shortest calls, three quarters to the next ones, half to the rest.
+// first returns the index of the first host that a call of the queue may use: the
+// shortest calls may use all hosts, the next ones three quarters, the rest half.
 func (l lanes) first(queue string, hosts int) int {
 	lane, known := l.byQueue[queue]
 	if !known {
-		lane = l.n - 1 // its queue is configured no more: nobody is to wait behind it
+		lane = l.n - 1 // the queue is no longer configured: its calls are not to delay others
 	}
 	var from int
 	switch {
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -9,7 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// queueWithAdvice is a queue whose calls for advice about 100 workers take ms.
+// queueWithAdvice returns a queue whose advice calls, also those about 100 workers,
+// take ms.
 func queueWithAdvice(name string, ms float64) model.Queue {
 	return model.Queue{Name: name, Policy: &record.Policy{
 		Service: "svc", Priority: 1, MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
@@ -17,10 +18,10 @@
 	}}
 }
 
-// A queue whose calls for advice take a quarter of a second shares the region with
-// one whose calls take more than a second, and of which many steps wait. Every
-// host always has one of the long calls under way, so that a shorter one finds no
-// host free, and its jobs wait for minutes beside workers that are empty.
+// A queue with advice calls of a quarter of a second shares the region with one whose
+// calls take more than a second and which has many waiting steps. If every host always
+// has a long call in flight, a shorter call finds no free host, and its jobs wait for
+// minutes while workers are idle.
 func TestLongCallsForAdviceLeaveHostsToShorterOnes(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 8 {
@@ -45,8 +46,8 @@
 	w.mustComplete("middle")
 }
 
-// Lanes follow from what is configured: calls that are alike share one, and then
-// no host is left idle for shorter calls that nobody makes.
+// Queues with calls of similar length share a lane, so that no host is kept idle for
+// shorter calls that do not exist.
 func TestLanes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ms    []float64
