--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -9,7 +9,7 @@
 // own saturated link for longer than the lease. A leader that then counts the run as
 // lost starts the task again. It waits for the worker while its link is full, but at
 // most for congestedPatience, since the worker may really be gone.
-func TestLeaseThatEndsWhileTheLinkIsFull(t *testing.T) {
+func TestRunIsNotLostWhileLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
 		w.submitTo(urgentJob("u1"), "urgent")
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// reservedGangs is how many gangs at a time reserve workers against all other batch
+	// maxFirmReservations is how many gangs at a time reserve workers against all other batch
 	// work. Each keeps that work off a few workers while it waits.
-	reservedGangs = 2
-	// keptGangs is how many further gangs that can still be on time reserve workers
+	maxFirmReservations = 2
+	// maxSoftReservations is how many further gangs that can still be on time reserve workers
 	// against late work. It is the number of gangs that arrive while one collects its
 	// room: about 2 a second for 3 s.
-	keptGangs = 6
-	// soonFree is how far ahead a gang counts room that running tasks are expected to
+	maxSoftReservations = 6
+	// freeHorizon is how far ahead a gang counts room that running tasks are expected to
 	// free.
-	soonFree = 4 * time.Second
+	freeHorizon = 4 * time.Second
 )
 
 // placeGang starts all tasks of a gang or none. It returns true if the gang needs no
@@ -35,13 +35,13 @@
 	}
 	chosen, why := s.gangWorkers(st, "")
 	if st.rec.SameRack {
-		chosen, why = s.oneRack(st)
+		chosen, why = s.sameRackWorkers(st)
 	}
 	if chosen == nil {
 		st.blocked = why
 		return false
 	}
-	s.roomiest.taken = true
+	s.freeBounds.assigned = true
 	number := st.nextGangRun()
 	placed := make([]string, 0, n)
 	for i, t := range st.tasks {
@@ -53,9 +53,9 @@
 	return true
 }
 
-// oneRack places a gang on one rack if any has room, else across racks, where its tasks
-// take a multiple of the time.
-func (s *Scheduler) oneRack(st *step) ([]*worker, string) {
+// sameRackWorkers chooses the workers of a gang on one rack if any has room, else
+// across racks, where its tasks take a multiple of the time.
+func (s *Scheduler) sameRackWorkers(st *step) ([]*worker, string) {
 	tried := make(map[string]bool)
 	for _, w := range s.order {
 		rack := w.entry.Rack()
@@ -74,7 +74,7 @@
 // returns the main reason why there is too little room.
 func (s *Scheduler) gangWorkers(st *step, rack string) ([]*worker, string) {
 	var (
-		counts rejected
+		counts rejectionCounts
 		places []gangPlace
 		total  int
 	)
@@ -91,20 +91,20 @@
 		if limit := int(st.rec.AntiAffinity); limit > 0 {
 			n = min(n, limit)
 		}
-		places = append(places, gangPlace{worker: w, n: n, apart: s.apartScore(st, w)})
+		places = append(places, gangPlace{worker: w, n: n, sharingScore: s.apartScore(st, w)})
 		total += n
 	}
 	if total < len(st.tasks) {
 		return nil, counts.summary()
 	}
-	return spreadGang(uniform(places, len(st.tasks)), len(st.tasks)), ""
+	return packGang(similarSpeedPlaces(places, len(st.tasks)), len(st.tasks)), ""
 }
 
-// uniform returns the places with room for all members whose workers differ least in
+// similarSpeedPlaces returns the places with room for all members whose workers differ least in
 // speed. A gang is as slow as its slowest member, and the room of faster members is
 // held idle meanwhile. Of sets that differ equally the fastest is chosen.
-func uniform(places []gangPlace, members int) []gangPlace {
-	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.log, a.worker.speed.log) })
+func similarSpeedPlaces(places []gangPlace, members int) []gangPlace {
+	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.logRatio, a.worker.speed.logRatio) })
 	var (
 		best   []gangPlace
 		spread = math.Inf(1)
@@ -117,7 +117,7 @@
 			room -= places[from].n
 			from++
 		}
-		if d := places[from].worker.speed.log - p.worker.speed.log; room >= members && d < spread-speedTolerance {
+		if d := places[from].worker.speed.logRatio - p.worker.speed.logRatio; room >= members && d < spread-speedTolerance {
 			best, spread = places[from:to+1], d
 		}
 	}
@@ -129,28 +129,28 @@
 
 // gangPlace is a worker and how many members of a gang fit on it.
 type gangPlace struct {
-	worker *worker
-	n      int
-	apart  float64 // rank by the other work there, from apartScore
+	worker       *worker
+	n            int
+	sharingScore float64 // rank by the other work there, from apartScore
 }
 
-// before reports whether a gang prefers a to b: first by the other work there, then by
+// preferredTo reports whether a gang prefers a to b: first by the other work there, then by
 // how many members fit.
-func (a gangPlace) before(b gangPlace) bool {
-	if a.apart != b.apart {
-		return a.apart > b.apart
+func (a gangPlace) preferredTo(b gangPlace) bool {
+	if a.sharingScore != b.sharingScore {
+		return a.sharingScore > b.sharingScore
 	}
 	return a.n > b.n
 }
 
-// spreadGang assigns the members to places, filling each place before the next, in the
-// order of before.
-func spreadGang(places []gangPlace, members int) []*worker {
+// packGang assigns the members to places, filling each place before the next, in the
+// order of preferredTo.
+func packGang(places []gangPlace, members int) []*worker {
 	chosen := make([]*worker, 0, members)
 	for len(chosen) < members {
 		best := 0
 		for i := range places {
-			if places[i].n > 0 && (places[best].n == 0 || places[i].before(places[best])) {
+			if places[i].n > 0 && (places[best].n == 0 || places[i].preferredTo(places[best])) {
 				best = i
 			}
 		}
@@ -184,13 +184,13 @@
 // first, since the room collected on a worker is lost when the gang moves to another.
 // The first gangs reserve firmly, against all but urgent small and long-running tasks;
 // further gangs reserve against late work alone.
-func (s *Scheduler) reserve(st *step, firmly bool) {
+func (s *Scheduler) reserve(st *step, firm bool) {
 	var places []gangPlace
 	for _, w := range s.usableNow {
 		if w.reserved != nil || w.kept != nil || !s.suits(st, w) || s.keptApart(st, w) {
 			continue
 		}
-		if n := timesIn(st.room(), w.free().Add(s.freedWithin(w, soonFree))); n > 0 {
+		if n := timesIn(st.room(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
 			places = append(places, gangPlace{worker: w, n: n})
 		}
 	}
@@ -203,12 +203,12 @@
 			}
 		}
 		total += places[best].n
-		if firmly {
+		if firm {
 			places[best].worker.reserved = st
 		} else {
 			places[best].worker.kept = st
 		}
-		s.roomiest.valid = false
+		s.freeBounds.valid = false
 		places = append(places[:best], places[best+1:]...)
 	}
 }
--- a/region/job.go
+++ b/region/job.go
@@ -9,20 +9,20 @@
 
 // job is one submission.
 type job struct {
-	rec        *record.Job
-	acceptedAt time.Duration // on the scheduler's clock
-	writtenAt  time.Duration // when its newest complete record was written
-	cancelled  bool
-	failed     bool
-	begun      bool           // a task of it has started
-	queue      *queueEstimate // observed run times of its queue
-	excess     bool           // its workspace was above its share when the job arrived
-	occs       []*occurrence
-	objective  time.Duration // of its newest occurrence
-	nextOcc    int32         // first occurrence that has not been created
-	openOccs   int           // occurrences with tasks that are not done
-	state      State         // last published
-	endedAt    time.Duration
+	rec           *record.Job
+	acceptedAt    time.Duration // on the scheduler's clock
+	writtenAt     time.Duration // when its newest complete record was written
+	cancelled     bool
+	failed        bool
+	begun         bool           // a task of it has started
+	queue         *queueEstimate // observed run times of its queue
+	overShare     bool           // its workspace was above its share when the job arrived
+	occs          []*occurrence
+	objective     time.Duration // of its newest occurrence
+	nextOcc       int32         // first occurrence that has not been created
+	remainingOccs int           // occurrences with tasks that are not done
+	state         State         // last published
+	endedAt       time.Duration
 }
 
 // occurrence is one execution of a job's steps.
@@ -34,40 +34,40 @@
 
 // step is a set of identical tasks of one occurrence.
 type step struct {
-	job      *job
-	occ      *occurrence
-	index    int32
-	rec      *record.Step
-	request  model.Resources
-	tasks    []*task
-	open     int           // tasks not done
-	started  bool          // all steps that it depends on are done
-	openAt   time.Duration // when that became true
-	key      time.Duration // latest start that still meets the objective
-	lateAt   time.Duration // latest start that still earns partial credit
-	queued   bool          // on the ready list
-	advice   adviceState
-	blocked  string // why it could not start in the last pass that tried it; reported as held_by
-	notUntil time.Duration
-	pressing bool // as of the newest pass
+	job             *job
+	occ             *occurrence
+	index           int32
+	rec             *record.Step
+	request         model.Resources
+	tasks           []*task
+	open            int           // tasks not done
+	started         bool          // all steps that it depends on are done
+	openAt          time.Duration // when that became true
+	key             time.Duration // latest start that still meets the objective
+	latestForCredit time.Duration // latest start that still earns partial credit
+	queued          bool          // on the ready list
+	advice          adviceState
+	blocked         string // why it could not start in the last pass that tried it; reported as held_by
+	notUntil        time.Duration
+	pressing        bool // as of the newest pass
 
-	waitsFrom  time.Duration // since when it has a waiting task
-	madeRoomAt time.Duration // when runs were last preempted for it
+	waitingSince time.Duration // since when it has a waiting task
+	preemptedAt  time.Duration // when runs were last preempted for it
 }
 
 // task is one task of a step.
 type task struct {
-	step       *step
-	index      int32
-	done       bool
-	attempts   int32         // runs that ended as failed
-	lastRun    int32         // highest run number assigned
-	endedRun   int32         // highest run number whose end was counted
-	checkpoint string        // newest checkpoint
-	crawled    bool          // it was moved off a slow worker once
-	run        *run          // run that may be alive; nil for none
-	ran        time.Duration // run time of the run that completed it
-	ranOn      *worker       // worker of that run
+	step         *step
+	index        int32
+	done         bool
+	attempts     int32         // runs that ended as failed
+	lastRun      int32         // highest run number assigned
+	endedRun     int32         // highest run number whose end was counted
+	checkpoint   string        // newest checkpoint
+	movedOffSlow bool          // it was moved off a slow worker once
+	run          *run          // run that may be alive; nil for none
+	runTime      time.Duration // run time of the run that completed it
+	ranOn        *worker       // worker of that run
 }
 
 func (t *task) id() model.TaskID {
@@ -77,11 +77,11 @@
 // waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
-func (j *job) over() bool  { return j.cancelled || j.failed || j.complete() }
-func (j *job) timed() bool { return j.rec.RepeatCount > 0 }
+func (j *job) over() bool     { return j.cancelled || j.failed || j.complete() }
+func (j *job) periodic() bool { return j.rec.RepeatCount > 0 }
 
 // complete reports whether every task of every occurrence is done.
-func (j *job) complete() bool { return j.openOccs == 0 && j.nextOcc >= max(j.rec.RepeatCount, 1) }
+func (j *job) complete() bool { return j.remainingOccs == 0 && j.nextOcc >= max(j.rec.RepeatCount, 1) }
 
 // intake applies records of accepted submissions and cancellations. The first record of
 // an id counts; a repeated submission is ignored.
@@ -100,13 +100,13 @@
 	if j, known := s.jobs[rec.Id]; known {
 		return j
 	}
-	j := &job{rec: rec, queue: s.estimates.of(rec.Queue), acceptedAt: s.acceptedAt(rec.AcceptedUnixMs)}
+	j := &job{rec: rec, queue: s.estimates.forQueue(rec.Queue), acceptedAt: s.acceptedAt(rec.AcceptedUnixMs)}
 	j.writtenAt = j.acceptedAt
 	s.jobs[rec.Id] = j
 	s.written = append(s.written, j)
-	j.excess = !s.shares.take(s.share(rec.Workspace), rec.Workspace, j.acceptedAt)
-	if j.timed() {
-		s.timed = append(s.timed, j)
+	j.overShare = !s.shares.allow(s.share(rec.Workspace), rec.Workspace, j.acceptedAt)
+	if j.periodic() {
+		s.periodic = append(s.periodic, j)
 	} else {
 		s.addOccurrence(j)
 	}
@@ -133,7 +133,7 @@
 func (s *Scheduler) addOccurrence(j *job) {
 	occ := &occurrence{k: j.nextOcc}
 	j.nextOcc++
-	j.openOccs++
+	j.remainingOccs++
 	j.occs = append(j.occs, occ)
 	for i, rec := range j.rec.Steps {
 		st := &step{job: j, occ: occ, index: int32(i), rec: rec, request: model.ResourcesOf(rec.Request), open: int(rec.Count)}
@@ -144,12 +144,12 @@
 		occ.steps = append(occ.steps, st)
 		occ.open += st.open
 	}
-	s.setUrgency(j, occ)
-	s.openSteps(occ)
+	s.setLatestStarts(j, occ)
+	s.enqueueReadySteps(occ)
 }
 
-// openSteps queues the steps whose dependencies are done.
-func (s *Scheduler) openSteps(occ *occurrence) {
+// enqueueReadySteps queues the steps whose dependencies are done.
+func (s *Scheduler) enqueueReadySteps(occ *occurrence) {
 	for _, st := range occ.steps {
 		if st.open == 0 || st.job.over() {
 			continue
@@ -169,33 +169,33 @@
 	}
 }
 
-// setUrgency computes the latest start of each step. A job's objective is its target
+// setLatestStarts computes the latest start of each step. A job's objective is its target
 // latency plus stretch times its critical path, counted from its acceptance or, for one
 // that runs at set times, from the creation of the occurrence. An end within
 // partialCredit objectives still earns partial credit.
-func (s *Scheduler) setUrgency(j *job, occ *occurrence) {
-	chain := make([]time.Duration, len(occ.steps)) // critical path from the start of each step to the end
+func (s *Scheduler) setLatestStarts(j *job, occ *occurrence) {
+	criticalPath := make([]time.Duration, len(occ.steps)) // critical path from the start of each step to the end
 	for i := len(occ.steps) - 1; i >= 0; i-- {
 		own := j.runTime(occ.steps[i].rec)
-		chain[i] += own
+		criticalPath[i] += own
 		for _, d := range occ.steps[i].rec.DependsOn {
-			chain[d] = max(chain[d], chain[i])
+			criticalPath[d] = max(criticalPath[d], criticalPath[i])
 		}
 	}
 	var longest time.Duration
-	for _, c := range chain {
+	for _, c := range criticalPath {
 		longest = max(longest, c)
 	}
 	objective := time.Duration(j.rec.Policy.GetStretch()*float64(longest)) +
 		time.Duration(j.rec.Policy.GetTargetLatencyMs())*time.Millisecond
 	j.objective = objective
 	from := j.acceptedAt
-	if j.timed() {
+	if j.periodic() {
 		from = s.now
 	}
 	for i, st := range occ.steps {
-		st.key = from + objective - chain[i]
-		st.lateAt = from + partialCredit*objective - chain[i]
+		st.key = from + objective - criticalPath[i]
+		st.latestForCredit = from + partialCredit*objective - criticalPath[i]
 	}
 }
 
@@ -203,10 +203,10 @@
 // credit.
 const partialCredit = 3
 
-// startOccurrences creates the occurrences that are due.
-func (s *Scheduler) startOccurrences() {
-	left := s.timed[:0]
-	for _, j := range s.timed {
+// addDueOccurrences creates the occurrences that are due.
+func (s *Scheduler) addDueOccurrences() {
+	left := s.periodic[:0]
+	for _, j := range s.periodic {
 		for !j.over() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
 			s.addOccurrence(j)
 		}
@@ -214,7 +214,7 @@
 			left = append(left, j)
 		}
 	}
-	s.timed = left
+	s.periodic = left
 }
 
 func (j *job) dueUnixMs(k int32) int64 { return j.rec.FirstRunUnixMs + int64(k)*j.rec.IntervalMs }
@@ -233,7 +233,7 @@
 	}
 	j.cancelled = true
 	s.explain(id, "cancelled", Field{"queue", j.rec.Queue})
-	s.close(j)
+	s.closeJob(j)
 }
 
 // fail ends a job because task t has used up its attempts.
@@ -243,11 +243,11 @@
 	}
 	j.failed = true
 	s.explain(j.rec.Id, "failed", Field{"step", t.step.index}, Field{"task", t.index}, Field{"attempts", t.attempts})
-	s.close(j)
+	s.closeJob(j)
 }
 
-// close stops the remaining runs of a job that was cancelled or has failed.
-func (s *Scheduler) close(j *job) {
+// closeJob stops the remaining runs of a job that was cancelled or has failed.
+func (s *Scheduler) closeJob(j *job) {
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
 			s.dequeue(st)
@@ -275,7 +275,7 @@
 		return
 	}
 	j.state = state
-	s.emit(Publish{Job: j.rec.Id, Queue: j.rec.Queue, Workspace: j.rec.Workspace, State: state, Timed: j.timed()})
+	s.emit(Publish{Job: j.rec.Id, Queue: j.rec.Queue, Workspace: j.rec.Workspace, State: state, Timed: j.periodic()})
 }
 
 func (j *job) currentState() State {
@@ -310,11 +310,11 @@
 	s.dequeue(st)
 	st.advice.marks, st.advice.good = nil, nil
 	if st.occ.open > 0 {
-		s.openSteps(st.occ)
+		s.enqueueReadySteps(st.occ)
 		return
 	}
 	j := st.job
-	j.openOccs--
+	j.remainingOccs--
 	if !j.complete() || j.failed || j.cancelled {
 		return
 	}
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -7,9 +7,9 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// laneGap is the ratio between the lengths of advice calls of two queues above which
+// tierRatio is the ratio between the lengths of advice calls of two queues above which
 // the queues get separate lanes.
-const laneGap = 3
+const tierRatio = 3
 
 // lanes groups the queues by the length of their advice calls. The advice service
 // answers the calls of one host in sequence, so that a call sent after a much longer
@@ -19,11 +19,11 @@
 // every host.
 type lanes struct {
 	byQueue map[string]int
-	n       int
+	count   int
 }
 
-// lanesOf computes the lanes of a configuration.
-func lanesOf(c *model.Config) lanes {
+// adviceTiersOf computes the lanes of a configuration.
+func adviceTiersOf(c *model.Config) lanes {
 	l := lanes{byQueue: make(map[string]int)}
 	type queueCost struct {
 		name string
@@ -39,10 +39,10 @@
 		return cmp.Or(cmp.Compare(a.ms, b.ms), cmp.Compare(a.name, b.name))
 	})
 	for i, q := range costs {
-		if i == 0 || q.ms > laneGap*costs[i-1].ms {
-			l.n++
+		if i == 0 || q.ms > tierRatio*costs[i-1].ms {
+			l.count++
 		}
-		l.byQueue[q.name] = l.n - 1
+		l.byQueue[q.name] = l.count - 1
 	}
 	return l
 }
@@ -52,7 +52,7 @@
 func (l lanes) first(queue string, hosts int) int {
 	lane, known := l.byQueue[queue]
 	if !known {
-		lane = l.n - 1 // the queue is no longer configured: its calls are not to delay others
+		lane = l.count - 1 // the queue is no longer configured: its calls are not to delay others
 	}
 	var from int
 	switch {
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -22,7 +22,7 @@
 // calls take more than a second and which has many waiting steps. If every host always
 // has a long call in flight, a shorter call finds no free host, and its jobs wait for
 // minutes while workers are idle.
-func TestLongCallsForAdviceLeaveHostsToShorterOnes(t *testing.T) {
+func TestLongAdviceCallsLeaveHostsToShortOnes(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 8 {
 		w.addWorker(fmt.Sprintf("w%d", i), 64)
@@ -48,7 +48,7 @@
 
 // Queues with calls of similar length share a lane, so that no host is kept idle for
 // shorter calls that do not exist.
-func TestLanes(t *testing.T) {
+func TestAdviceTiers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ms    []float64
 		first []int // of 8 hosts
@@ -63,7 +63,7 @@
 		for i, ms := range tc.ms {
 			c.Queues = append(c.Queues, queueWithAdvice(fmt.Sprint(i), ms))
 		}
-		l := lanesOf(c)
+		l := adviceTiersOf(c)
 		for i, want := range tc.first {
 			if got := l.first(fmt.Sprint(i), 8); got != want {
 				t.Errorf("%s: queue %d uses hosts from %d on, want %d", name, i, got, want)
--- a/region/learn.go
+++ b/region/learn.go
@@ -15,19 +15,19 @@
 
 // queueEstimate holds the observed run times of a queue.
 type queueEstimate struct {
-	ratio float64       // running mean of observed over declared run time
-	usual time.Duration // running mean of observed run times; 0 before the first
-	n     float64       // ends in the means, at most estimateMemory
+	ratio   float64       // running mean of observed over declared run time
+	usual   time.Duration // running mean of observed run times; 0 before the first
+	samples float64       // ends in the means, at most estimateWindow
 }
 
 const (
-	// estimateMemory is how many ends a running mean spans.
-	estimateMemory = 50
+	// estimateWindow is how many ends a running mean spans.
+	estimateWindow = 50
 	// fallbackRunTime is assumed where no run time was declared.
 	fallbackRunTime = time.Second
 )
 
-func (e *estimates) of(queue string) *queueEstimate {
+func (e *estimates) forQueue(queue string) *queueEstimate {
 	if e.byQueue == nil {
 		e.byQueue = make(map[string]*queueEstimate)
 	}
@@ -71,24 +71,24 @@
 			q := r.task.step.job.queue
 			took := s.now - r.startedAt
 			if r.task.checkpoint == "" {
-				r.task.ran, r.task.ranOn = took, r.worker
+				r.task.runTime, r.task.ranOn = took, r.worker
 			}
-			seen := float64(took) / float64(time.Duration(r.task.step.rec.EstimateMs)*time.Millisecond)
-			q.n = min(q.n+1, estimateMemory)
-			q.ratio += (seen - q.ratio) / q.n
-			q.usual += time.Duration(float64(took-q.usual) / q.n)
+			observed := float64(took) / float64(time.Duration(r.task.step.rec.EstimateMs)*time.Millisecond)
+			q.samples = min(q.samples+1, estimateWindow)
+			q.ratio += (observed - q.ratio) / q.samples
+			q.usual += time.Duration(float64(took-q.usual) / q.samples)
 		}
 	case record.Outcome_OUTCOME_FAILED:
 		r.worker.health.failed(s.now)
-		if !r.worker.health.trusted(s.now) {
+		if !r.worker.health.healthy(s.now) {
 			s.explain("", "worker quarantined", Field{"worker", r.worker.entry.ID}, Field{"failures", r.worker.health.failures})
 		}
 	}
 }
 
-// stallAfter is how long a run may show no progress. Heartbeats are up to 0.8 s apart,
+// stallTimeout is how long a run may show no progress. Heartbeats are up to 0.8 s apart,
 // and the slowest healthy tasks gain one percent in a second.
-const stallAfter = 1500 * time.Millisecond
+const stallTimeout = 1500 * time.Millisecond
 
 // progress records the progress of a run and stops a run without progress. A worker on
 // which tasks hang otherwise seems healthy, as it answers and no task on it fails. The
@@ -100,14 +100,14 @@
 	if row.Percent != r.percent || r.movedAt == 0 {
 		r.percent = row.Percent
 		r.movedAt = s.now
-		if !st.Gang && !st.LongRunning && s.crawls(r) {
-			r.task.crawled = true
+		if !st.Gang && !st.LongRunning && s.isStraggler(r) {
+			r.task.movedOffSlow = true
 			r.worker.health.stalled(s.now)
 			s.stopRun(r, "far slower than its queue's tasks are")
 		}
 		return
 	}
-	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.movedAt < stallAfter {
+	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.movedAt < stallTimeout {
 		return
 	}
 	r.worker.health.stalled(s.now)
@@ -115,33 +115,33 @@
 }
 
 const (
-	// crawlFactor is how many times its expected run time a run must be projected to
+	// stragglerFactor is how many times its expected run time a run must be projected to
 	// take to count as a straggler. Real run times reach two and a half times their
 	// mean, and healthy workers are up to 1.6 times as fast as each other.
-	crawlFactor = 4
-	// crawlAfter is how long a run must have run before its progress is projected.
-	crawlAfter = 300 * time.Millisecond
-	// crawlLearned is how many ends of a queue are needed before its run times are used
+	stragglerFactor = 4
+	// stragglerMinRunTime is how long a run must have run before its progress is projected.
+	stragglerMinRunTime = 300 * time.Millisecond
+	// stragglerMinSamples is how many ends of a queue are needed before its run times are used
 	// for this.
-	crawlLearned = 10
+	stragglerMinSamples = 10
 )
 
-// crawls reports whether a run is a straggler that would end sooner if it were started
+// isStraggler reports whether a run is a straggler that would end sooner if it were started
 // again elsewhere. Its worker is then slow: it answers and no task on it fails, but
 // runs there take many times as long, and urgent work ends too late.
 //
 // A task is moved at most once. One that really takes that long would otherwise be
 // stopped again and again and never end.
-func (s *Scheduler) crawls(r *run) bool {
+func (s *Scheduler) isStraggler(r *run) bool {
 	ran := s.now - r.startedAt
 	st := r.task.step
 	queue := st.job.queue
-	if r.phase != phaseRunning || r.percent <= 0 || ran < crawlAfter || r.task.crawled || queue.n < crawlLearned {
+	if r.phase != phaseRunning || r.percent <= 0 || ran < stragglerMinRunTime || r.task.movedOffSlow || queue.samples < stragglerMinSamples {
 		return false
 	}
 	expected := max(st.job.runTime(st.rec), queue.usual)
-	whole := ran * 100 / time.Duration(r.percent)
-	return whole > crawlFactor*expected && whole-ran > expected+restartTime
+	projected := ran * 100 / time.Duration(r.percent)
+	return projected > stragglerFactor*expected && projected-ran > expected+restartTime
 }
 
 const (
@@ -149,17 +149,17 @@
 	// worker into quarantine. At most one task in twenty fails by its own fault, so
 	// three in a row occur once in 8,000 cases on a healthy worker.
 	quarantineAfter = 3
-	// quarantineFirst is the first time in quarantine. It doubles with each further
-	// failure, up to quarantineMost.
-	quarantineFirst = 2 * time.Second
-	quarantineMost  = 16 * time.Second
+	// minQuarantine is the first time in quarantine. It doubles with each further
+	// failure, up to maxQuarantine.
+	minQuarantine = 2 * time.Second
+	maxQuarantine = 16 * time.Second
 )
 
 // health tracks the failures of a worker. A worker that fails every task it starts is
 // always idle and would attract all work.
 type health struct {
 	failures int           // in a row
-	outTo    time.Duration // end of the quarantine
+	outUntil time.Duration // end of the quarantine
 }
 
 func (h *health) done() { *h = health{} }
@@ -169,17 +169,17 @@
 	if h.failures < quarantineAfter {
 		return
 	}
-	out := quarantineFirst << min(h.failures-quarantineAfter, 3)
-	h.outTo = now + min(out, quarantineMost)
+	period := minQuarantine << min(h.failures-quarantineAfter, 3)
+	h.outUntil = now + min(period, maxQuarantine)
 }
 
 // stalled puts a worker on which a task hangs into quarantine, since the next task
 // would hang too.
-func (h *health) stalled(now time.Duration) { h.outTo = max(h.outTo, now+quarantineFirst) }
+func (h *health) stalled(now time.Duration) { h.outUntil = max(h.outUntil, now+minQuarantine) }
 
 func (h *health) refused(now time.Duration) { h.failed(now) }
 
-func (h *health) trusted(now time.Duration) bool { return now >= h.outTo }
+func (h *health) healthy(now time.Duration) bool { return now >= h.outUntil }
 
 // failurePenalty ranks a worker with recent failures behind others, in thousandths of a
 // core for each failure.
--- a/region/pacer.go
+++ b/region/pacer.go
@@ -14,9 +14,9 @@
 // pacerBurst is how long unused tokens accumulate.
 const pacerBurst = 100 * time.Millisecond
 
-// refill adds the tokens up to now, at a rate of perS a second.
-func (p *startPacer) refill(perS float64, now time.Duration) {
-	p.tokens = min(p.tokens+perS*(now-p.at).Seconds(), perS*pacerBurst.Seconds())
+// refill adds the tokens up to now, at a rate in starts a second.
+func (p *startPacer) refill(rate float64, now time.Duration) {
+	p.tokens = min(p.tokens+rate*(now-p.at).Seconds(), rate*pacerBurst.Seconds())
 	p.at = now
 }
 
--- a/region/pacer_test.go
+++ b/region/pacer_test.go
@@ -10,7 +10,7 @@
 // would fill a narrow link for seconds: leases are not renewed in time, tickets expire
 // in transit, and everything is sent again. Reproduced by a burst of small jobs on an
 // idle region.
-func TestBacklogIsStartedAtTheRateOfTheLink(t *testing.T) {
+func TestBacklogStartsAtLinkRate(t *testing.T) {
 	const perS = 100
 	w := newWorld(t, 1)
 	for i := range 20 {
--- a/region/pass.go
+++ b/region/pass.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// passEvery is the shortest time between two placement passes. Several hundred
+	// basePassInterval is the shortest time between two placement passes. Several hundred
 	// events arrive in a second, and a pass for several of them costs as much as for
 	// one.
-	passEvery = 4 * time.Millisecond
-	// passPerStep lengthens that time for each waiting step: by 10 ms at 500 steps.
-	passPerStep = 20 * time.Microsecond
+	basePassInterval = 4 * time.Millisecond
+	// passIntervalPerStep lengthens that time for each waiting step: by 10 ms at 500 steps.
+	passIntervalPerStep = 20 * time.Microsecond
 	// headTries and tailTries bound the steps of a class on which placement fails in
 	// one pass: the most urgent ones, and as many further ones in rotation. The
 	// rotation lets a step be tried although many steps before it fit nowhere.
@@ -23,7 +23,7 @@
 
 // schedule runs a placement pass: it starts the tasks that fit, the most urgent first.
 func (s *Scheduler) schedule() {
-	if !s.leading() || s.config == nil || !s.dirty || s.now-s.lastPass < s.passPause() {
+	if !s.leading() || s.config == nil || !s.dirty || s.now-s.lastPass < s.passInterval() {
 		return
 	}
 	s.lastPass = s.now
@@ -42,79 +42,79 @@
 			s.usableNow = append(s.usableNow, w)
 		}
 	}
-	s.roomiest.valid = false
+	s.freeBounds.valid = false
 	for c, steps := range s.byClass() {
 		s.pass(steps, class(c))
 	}
 }
 
-// roomiest holds upper bounds of the room on any one worker. A step that asks for more
+// freeBounds holds upper bounds of the room on any one worker. A step that asks for more
 // fits on no worker, and no worker need be checked; under load that settles most
 // waiting steps. Assignments leave the bounds too high until they are computed again,
 // which costs no more than a full check of a step.
-type roomiest struct {
+type freeBounds struct {
 	valid     bool
-	taken     bool // tasks were assigned since
-	byService map[string]*roomiestOf
+	assigned  bool // tasks were assigned since
+	byService map[string]*serviceFreeBounds
 }
 
-// roomiestOf is the most of each resource that is free on any worker of a service.
-type roomiestOf struct {
-	free model.Resources // on workers without a reservation
-	kept model.Resources // also on workers that gangs reserve against late work only
-	any  model.Resources // on all workers
+// serviceFreeBounds is the most of each resource that is free on any worker of a service.
+type serviceFreeBounds struct {
+	unreserved        model.Resources // on workers without a reservation
+	notFirmlyReserved model.Resources // also on workers that gangs reserve against late work only
+	any               model.Resources // on all workers
 }
 
-// hopeless reports whether no worker has room for one task of the step.
-func (s *Scheduler) hopeless(st *step) bool {
-	if !s.roomiest.valid {
-		s.findRoomiest()
+// infeasible reports whether no worker has room for one task of the step.
+func (s *Scheduler) infeasible(st *step) bool {
+	if !s.freeBounds.valid {
+		s.computeFreeBounds()
 	}
-	of, known := s.roomiest.byService[st.job.rec.Policy.GetService()]
+	of, known := s.freeBounds.byService[st.job.rec.Policy.GetService()]
 	if !known {
 		return true
 	}
 	switch {
-	case st.rec.Gang || s.passesReserved(st):
+	case st.rec.Gang || s.ignoresReservations(st):
 		return !st.room().Fits(of.any)
-	case s.classOf(st) <= classExcess:
-		return !st.room().Fits(of.kept)
+	case s.classOf(st) <= classOverShare:
+		return !st.room().Fits(of.notFirmlyReserved)
 	}
-	return !st.room().Fits(of.free)
+	return !st.room().Fits(of.unreserved)
 }
 
-func (s *Scheduler) findRoomiest() {
-	s.roomiest = roomiest{valid: true, byService: make(map[string]*roomiestOf)}
+func (s *Scheduler) computeFreeBounds() {
+	s.freeBounds = freeBounds{valid: true, byService: make(map[string]*serviceFreeBounds)}
 	var (
-		of      *roomiestOf
+		of      *serviceFreeBounds
 		service string
 	)
 	for _, w := range s.usableNow {
 		if of == nil || w.entry.Service != service {
 			service = w.entry.Service
-			of = s.roomiest.of(service)
+			of = s.freeBounds.forService(service)
 		}
 		free := w.free()
-		of.any = most(of.any, free)
+		of.any = elementwiseMax(of.any, free)
 		if w.reserved == nil {
-			of.kept = most(of.kept, free)
+			of.notFirmlyReserved = elementwiseMax(of.notFirmlyReserved, free)
 		}
 		if w.reserved == nil && w.kept == nil {
-			of.free = most(of.free, free)
+			of.unreserved = elementwiseMax(of.unreserved, free)
 		}
 	}
 }
 
-func (r *roomiest) of(service string) *roomiestOf {
+func (r *freeBounds) forService(service string) *serviceFreeBounds {
 	of, known := r.byService[service]
 	if !known {
-		of = &roomiestOf{}
+		of = &serviceFreeBounds{}
 		r.byService[service] = of
 	}
 	return of
 }
 
-func most(a, b model.Resources) model.Resources {
+func elementwiseMax(a, b model.Resources) model.Resources {
 	return model.Resources{
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
 		MemoryMiB:    max(a.MemoryMiB, b.MemoryMiB),
@@ -122,22 +122,22 @@
 	}
 }
 
-// passPause is the shortest time between two passes. It grows with the number of steps
+// passInterval is the shortest time between two passes. It grows with the number of steps
 // to check, so that a backlog does not use the processor time that answers of workers
 // need.
-func (s *Scheduler) passPause() time.Duration {
-	return passEvery + time.Duration(len(s.ready.steps))*passPerStep
+func (s *Scheduler) passInterval() time.Duration {
+	return basePassInterval + time.Duration(len(s.ready.steps))*passIntervalPerStep
 }
 
 // class ranks steps by how much credit they can still earn.
 type class int
 
 const (
-	classOnTime  class = iota // the objective can be met
-	classExcess               // the same, but the workspace is above its share
-	classPartial              // late, but with partial credit
-	classRest                 // no credit any more; still to be run
-	classes
+	classOnTime        class = iota // the objective can be met
+	classOverShare                  // the same, but the workspace is above its share
+	classPartialCredit              // late, but with partial credit
+	classNoCredit                   // no credit any more; still to be run
+	numClasses
 )
 
 // classOf returns the step's class now. Under overload, steps that can still meet their
@@ -147,20 +147,20 @@
 	switch {
 	case st.rec.LongRunning:
 		return classOnTime // it has no objective and is to run at any time
-	case s.now > st.lateAt:
-		return classRest
+	case s.now > st.latestForCredit:
+		return classNoCredit
 	case s.now > st.key:
-		return classPartial
-	case st.job.excess:
-		return classExcess
+		return classPartialCredit
+	case st.job.overShare:
+		return classOverShare
 	}
 	return classOnTime
 }
 
 // byClass splits the ready steps into classes, each in the order of urgency, and
 // removes steps with nothing to start.
-func (s *Scheduler) byClass() [classes][]*step {
-	var out [classes][]*step
+func (s *Scheduler) byClass() [numClasses][]*step {
+	var out [numClasses][]*step
 	keep := s.ready.steps[:0]
 	for _, st := range s.ready.steps {
 		if st.job.over() || !st.anyWaiting() {
@@ -180,7 +180,7 @@
 // pass starts what fits of the steps of class c.
 func (s *Scheduler) pass(steps []*step, c class) {
 	gangs, tries := 0, 0
-	turn := s.turns[c]
+	start := s.tailStart[c]
 	for i, st := range steps {
 		if s.now < st.notUntil {
 			continue
@@ -190,37 +190,37 @@
 			s.dirty = true
 			return
 		}
-		reserving := st.rec.Gang && gangs < reservedGangs+keptGangs && (gangs < reservedGangs || c <= classExcess)
-		if !reserving && s.hopeless(st) {
+		reserving := st.rec.Gang && gangs < maxFirmReservations+maxSoftReservations && (gangs < maxFirmReservations || c <= classOverShare)
+		if !reserving && s.infeasible(st) {
 			st.blocked = reasonNames[rejectRoom]
-			s.makeRoom(st)
-			if c <= classExcess {
+			s.preemptFor(st)
+			if c <= classOverShare {
 				s.wantFirstAdvice(st)
 			}
 			continue
 		}
-		if tries >= headTries && (i < turn || tries >= headTries+tailTries) {
+		if tries >= headTries && (i < start || tries >= headTries+tailTries) {
 			continue
 		}
 		if s.place(st) {
 			continue
 		}
-		if s.roomiest.taken {
-			s.roomiest.valid = false
+		if s.freeBounds.assigned {
+			s.freeBounds.valid = false
 		}
-		s.makeRoom(st)
+		s.preemptFor(st)
 		tries++
 		if tries > headTries {
-			s.turns[c] = i + 1
+			s.tailStart[c] = i + 1
 		}
 		if reserving {
 			gangs++
-			s.reserve(st, gangs <= reservedGangs)
+			s.reserve(st, gangs <= maxFirmReservations)
 		}
 		s.wantAdvice(st)
 	}
 	if tries < headTries+tailTries {
-		s.turns[c] = 0
+		s.tailStart[c] = 0
 	}
 }
 
--- a/region/place.go
+++ b/region/place.go
@@ -16,19 +16,19 @@
 	rejectInterference
 	rejectReserved
 	rejectApart
-	reasons
+	numReasons
 )
 
-var reasonNames = [reasons]string{"fits", "service", "state", "label", "advice", "room", "spread", "interference", "reserved", "apart"}
+var reasonNames = [numReasons]string{"fits", "service", "state", "label", "advice", "room", "spread", "interference", "reserved", "apart"}
 
-// rejected counts workers by the filter that rejected them.
-type rejected [reasons]int
+// rejectionCounts counts workers by the filter that rejected them.
+type rejectionCounts [numReasons]int
 
 // summary names the filter that rejected the most workers of the step's service, or the
 // service filter if there are none.
-func (r *rejected) summary() string {
+func (r *rejectionCounts) summary() string {
 	best := rejectState
-	for i := rejectState; i < reasons; i++ {
+	for i := rejectState; i < numReasons; i++ {
 		if r[i] > r[best] {
 			best = i
 		}
@@ -67,10 +67,10 @@
 			st.blocked = why
 			return
 		}
-		at := s.best(st, fitting)
+		at := s.bestIndex(st, fitting)
 		w := fitting[at]
 		s.assign(t, w, t.lastRun+1)
-		s.roomiest.taken = true
+		s.freeBounds.assigned = true
 		placed = append(placed, w.entry.ID)
 		// The assignment doesn't change the feasibility of any other worker for this step.
 		if rejection := s.reject(st, w); rejection != fits {
@@ -84,23 +84,23 @@
 // fitting returns the workers that can take a task of the step now, and the main reason
 // for which others cannot. The result is valid until the next call.
 func (s *Scheduler) fitting(st *step) ([]*worker, string) {
-	var counts rejected
-	s.scratch = s.scratch[:0]
+	var counts rejectionCounts
+	s.fittingBuf = s.fittingBuf[:0]
 	for _, w := range s.candidates(st) {
 		why := s.reject(st, w)
 		counts[why]++
 		if why == fits {
-			s.scratch = append(s.scratch, w)
+			s.fittingBuf = append(s.fittingBuf, w)
 		}
 	}
 	if st.advised() && len(s.candidates(st)) == 0 {
 		return nil, reasonNames[rejectAdvice]
 	}
-	return s.scratch, counts.summary()
+	return s.fittingBuf, counts.summary()
 }
 
-// best returns the index of the worker with the highest score for the step.
-func (s *Scheduler) best(st *step, fitting []*worker) int {
+// bestIndex returns the index of the worker with the highest score for the step.
+func (s *Scheduler) bestIndex(st *step, fitting []*worker) int {
 	best := 0
 	bestScore := s.score(st, fitting[0])
 	for i, w := range fitting[1:] {
@@ -125,9 +125,9 @@
 		return rejectLabel
 	case !st.ticketHolds(w, s.now):
 		return rejectAdvice
-	case st.rec.AntiAffinity > 0 && st.runsOn(w) >= int(st.rec.AntiAffinity):
+	case st.rec.AntiAffinity > 0 && st.runCountOn(w) >= int(st.rec.AntiAffinity):
 		return rejectSpread
-	case st.disturbs(w):
+	case st.interferesWith(w):
 		return rejectInterference
 	case !s.admits(w, st):
 		return rejectReserved
@@ -137,29 +137,29 @@
 	return fits
 }
 
-// passesReserved reports whether the step may use workers that are reserved for a gang:
+// ignoresReservations reports whether the step may use workers that are reserved for a gang:
 // urgent small tasks that can still be on time, as they end soon, and long-running
 // tasks, which precede all other work.
-func (s *Scheduler) passesReserved(st *step) bool {
+func (s *Scheduler) ignoresReservations(st *step) bool {
 	return st.rec.LongRunning || st.job.rec.Policy.GetPriority() == 0 && s.now <= st.key
 }
 
 // admits reports whether the reservations of the worker let the step use it.
 func (s *Scheduler) admits(w *worker, st *step) bool {
-	if w.reserved != nil && w.reserved != st && !s.passesReserved(st) {
+	if w.reserved != nil && w.reserved != st && !s.ignoresReservations(st) {
 		return false
 	}
-	return w.kept == nil || w.kept == st || s.classOf(st) <= classExcess
+	return w.kept == nil || w.kept == st || s.classOf(st) <= classOverShare
 }
 
 // usable reports whether the worker may get new work at all.
 func (s *Scheduler) usable(w *worker) bool {
 	return w.listed && !w.entry.Draining && w.fenced && !w.overdue &&
-		s.now-w.lookedAt < reachable && s.now >= w.pausedTo && w.health.trusted(s.now)
+		s.now-w.lookedAt < reachable && s.now >= w.pausedTo && w.health.healthy(s.now)
 }
 
-// runsOn counts the runs of the step on the worker.
-func (st *step) runsOn(w *worker) int {
+// runCountOn counts the runs of the step on the worker.
+func (st *step) runCountOn(w *worker) int {
 	n := 0
 	for _, r := range w.runs {
 		if r.task.step == st {
@@ -169,10 +169,10 @@
 	return n
 }
 
-// disturbs reports whether the step and the runs on the worker would interfere. Tasks
+// interferesWith reports whether the step and the runs on the worker would interfere. Tasks
 // that fill (best-effort tasks on leftover processors) slow down tasks that serve users
 // under a latency target, by amounts that nobody declares.
-func (st *step) disturbs(w *worker) bool {
+func (st *step) interferesWith(w *worker) bool {
 	if !st.rec.Fills && st.rec.TargetMs == 0 {
 		return false
 	}
@@ -192,16 +192,16 @@
 		return true
 	}
 	after := s.used[ws.Name].Add(st.request.Times(n))
-	return under(after.MilliCPU, ws.Cap.MilliCPU) && under(after.MemoryMiB, ws.Cap.MemoryMiB) &&
-		under(after.Accelerators, ws.Cap.Accelerators)
+	return withinLimit(after.MilliCPU, ws.Cap.MilliCPU) && withinLimit(after.MemoryMiB, ws.Cap.MemoryMiB) &&
+		withinLimit(after.Accelerators, ws.Cap.Accelerators)
 }
 
-func under(value, limit int64) bool { return limit <= 0 || value <= limit }
+func withinLimit(value, limit int64) bool { return limit <= 0 || value <= limit }
 
 // Weights of the score, in thousandths of a core left free.
 const (
-	nearDataBonus   = 1e6 // a task on its data's rack takes a half or a third of the time
-	reservedPenalty = 1e5 // small urgent tasks use workers without a reservation where they can
+	dataLocalityBonus = 1e6 // a task on its data's rack takes a half or a third of the time
+	reservedPenalty   = 1e5 // small urgent tasks use workers without a reservation where they can
 )
 
 // score ranks workers that fit. It is best fit: the worker that is left with the least
@@ -209,7 +209,7 @@
 func (s *Scheduler) score(st *step, w *worker) float64 {
 	score := -float64(w.free().MilliCPU - st.request.MilliCPU)
 	if st.rec.Affinity != "" && w.entry.HasLabel(st.rec.Affinity) {
-		score += nearDataBonus
+		score += dataLocalityBonus
 	}
 	if w.reserved != nil && w.reserved != st {
 		score -= reservedPenalty
@@ -225,7 +225,7 @@
 // slow workers for all other work, which leaves the fast ones free.
 func (st *step) speedScore(w *worker) float64 {
 	if st.pressing {
-		return speedWeight * w.speed.log
+		return speedWeight * w.speed.logRatio
 	}
-	return -speedWeight * w.speed.log
+	return -speedWeight * w.speed.logRatio
 }
--- a/region/preempt.go
+++ b/region/preempt.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// lastingPatience is how long a long-running task waits for free room before runs
+	// preemptDelay is how long a long-running task waits for free room before runs
 	// are preempted for it. It is to run again within 3 s, and a stop and a start take
 	// up to 1 s.
-	lastingPatience = time.Second
-	// makeRoomEvery is the shortest time between two preemptions for one step: a stop
+	preemptDelay = time.Second
+	// preemptInterval is the shortest time between two preemptions for one step: a stop
 	// takes most of a second to take effect.
-	makeRoomEvery = time.Second
+	preemptInterval = time.Second
 )
 
-// makeRoom preempts runs for a long-running task that finds no room, since its users
+// preemptFor preempts runs for a long-running task that finds no room, since its users
 // have no service meanwhile. It chooses the worker, and the runs on it, with the least
 // loss.
-func (s *Scheduler) makeRoom(st *step) {
-	if !st.rec.LongRunning || s.now-st.waitsFrom < lastingPatience || s.now-st.madeRoomAt < makeRoomEvery || !s.withinCap(st, 1) {
+func (s *Scheduler) preemptFor(st *step) {
+	if !st.rec.LongRunning || s.now-st.waitingSince < preemptDelay || s.now-st.preemptedAt < preemptInterval || !s.withinCap(st, 1) {
 		return
 	}
 	var (
@@ -42,7 +42,7 @@
 	if !found {
 		return
 	}
-	st.madeRoomAt = s.now
+	st.preemptedAt = s.now
 	for _, r := range best {
 		s.stopRun(r, "makes room for a task that lasts")
 	}
@@ -51,24 +51,24 @@
 // victims returns the runs to stop on a worker to let one task of the step fit, and the
 // core-time lost by it. ok is false if that is not enough.
 func (s *Scheduler) victims(st *step, w *worker) (victims []*run, loss time.Duration, ok bool) {
-	candidates := s.stoppable(w)
+	candidates := s.preemptible(w)
 	free := w.free()
 	for _, r := range candidates {
-		disturbs := st.rec.TargetMs > 0 && r.task.step.rec.Fills
-		if !disturbs && st.room().Fits(free) {
+		interferes := st.rec.TargetMs > 0 && r.task.step.rec.Fills
+		if !interferes && st.room().Fits(free) {
 			continue
 		}
 		victims = append(victims, r)
-		loss += s.lossOf(r)
+		loss += s.preemptionLoss(r)
 		free = free.Add(r.room)
 	}
-	return victims, loss, st.room().Fits(free) && (st.rec.AntiAffinity == 0 || st.runsOn(w) < int(st.rec.AntiAffinity))
+	return victims, loss, st.room().Fits(free) && (st.rec.AntiAffinity == 0 || st.runCountOn(w) < int(st.rec.AntiAffinity))
 }
 
-// stoppable returns the runs on a worker that may be preempted, the least loss first.
+// preemptible returns the runs on a worker that may be preempted, the least loss first.
 // Excluded are long-running tasks, whose users would have no service, and gang members,
 // as all members would end.
-func (s *Scheduler) stoppable(w *worker) []*run {
+func (s *Scheduler) preemptible(w *worker) []*run {
 	var out []*run
 	for _, r := range w.sortedRuns() {
 		rec := r.task.step.rec
@@ -76,12 +76,12 @@
 			out = append(out, r)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *run) int { return cmp.Compare(s.lossOf(a), s.lossOf(b)) })
+	slices.SortStableFunc(out, func(a, b *run) int { return cmp.Compare(s.preemptionLoss(a), s.preemptionLoss(b)) })
 	return out
 }
 
-// lossOf returns the core-time that stopping a run wastes.
-func (s *Scheduler) lossOf(r *run) time.Duration {
+// preemptionLoss returns the core-time that stopping a run wastes.
+func (s *Scheduler) preemptionLoss(r *run) time.Duration {
 	if r.task.step.rec.Checkpointing {
 		return 0
 	}
--- a/region/ready.go
+++ b/region/ready.go
@@ -32,7 +32,7 @@
 		return
 	}
 	st.queued = true
-	st.waitsFrom = s.now
+	st.waitingSince = s.now
 	at, _ := slices.BinarySearchFunc(s.ready.steps, st, compareSteps)
 	s.ready.steps = slices.Insert(s.ready.steps, at, st)
 }
--- a/region/region.go
+++ b/region/region.go
@@ -53,10 +53,10 @@
 	// append took longer, the limit is logStallFactor times its latency.
 	logStall       = 250 * time.Millisecond
 	logStallFactor = 1.5
-	// heartbeatEvery is the longest pause between appends of a leader. Other hosts
+	// leaderHeartbeatInterval is the longest pause between appends of a leader. Other hosts
 	// consider a leader gone after two to three such pauses. A leader with work appends
 	// more often.
-	heartbeatEvery = 100 * time.Millisecond
+	leaderHeartbeatInterval = 100 * time.Millisecond
 )
 
 // Scheduler is the state machine. It is not safe for concurrent use.
@@ -74,29 +74,29 @@
 	workers        map[string]*worker
 	departed       departed
 	order          []*worker // workers in a stable order
-	slots          slots
+	slots          slotAllocator
 	usableNow      []*worker // workers that can take new work, in this pass
-	scratch        []*worker // result buffer of fitting
+	fittingBuf     []*worker // result buffer of fitting
 	ready          readyList // steps with waiting tasks, most urgent first
 	used           map[string]model.Resources
 	advisers       advisers
 	lanes          lanes
-	timed          []*job // jobs with further occurrences
+	periodic       []*job // jobs with further occurrences
 	written        []*job // jobs in the order of writtenAt
 	finished       []*job // jobs in the order they ended
 	doubts         []*run // runs in doubt: a start of them may still be executed
 	estimates      estimates
 	shares         shares
 
-	entries   []*record.Entry // entries produced by this Step
-	seq       int64           // number of the last entry produced
-	logged    int64           // number of the last entry committed
-	logTook   time.Duration   // latency of the newest append
-	provenAt  time.Duration   // when the newest successful append was sent
-	appendAt  time.Duration   // when an entry was last produced
-	unkeptAt  time.Duration   // the oldest uncommitted entry has waited since then or longer
-	whenKept  []afterLog      // callbacks that wait for a commit, by entry number
-	leadSince time.Duration
+	entries          []*record.Entry  // entries produced by this Step
+	seq              int64            // number of the last entry produced
+	committed        int64            // number of the last entry committed
+	appendLatency    time.Duration    // latency of the newest append
+	provenAt         time.Duration    // when the newest successful append was sent
+	lastAppendAt     time.Duration    // when an entry was last produced
+	uncommittedSince time.Duration    // the oldest uncommitted entry has waited since then or longer
+	commitCallbacks  []commitCallback // callbacks that wait for a commit, by entry number
+	leadSince        time.Duration
 	// usualAnswer is a running mean of the time in which workers answer an order.
 	usualAnswer time.Duration
 	behind      time.Duration // running mean of how long events wait for the driver
@@ -104,15 +104,15 @@
 	fullAt      time.Duration // when linkLoad was last above fullLink
 	dirty       bool          // a change may allow a task to start
 	lastPass    time.Duration
-	roomiest    roomiest
+	freeBounds  freeBounds
 	pacer       startPacer
-	turns       [classes]int // where the next pass resumes trying the tail of each class
+	tailStart   [numClasses]int // where the next pass resumes trying the tail of each class
 
 	out []Command
 }
 
-// afterLog is a callback that runs once the entry with number seq is committed.
-type afterLog struct {
+// commitCallback is a callback that runs once the entry with number seq is committed.
+type commitCallback struct {
 	seq int64
 	do  func()
 }
@@ -149,7 +149,7 @@
 	case ConfigRead:
 		s.config = ev.Config
 		if ev.Config != nil {
-			s.lanes = lanesOf(ev.Config)
+			s.lanes = adviceTiersOf(ev.Config)
 		}
 		s.dirty = true
 	case WorkerListed:
@@ -197,29 +197,29 @@
 // for too long. More assignments would only queue behind those entries in the present
 // order, and take room from more urgent work that arrives before the log recovers.
 func (s *Scheduler) logStalled() bool {
-	stall := max(logStall, time.Duration(logStallFactor*float64(s.logTook)))
-	return s.seq > s.logged && s.now-s.unkeptAt > stall
+	stall := max(logStall, time.Duration(logStallFactor*float64(s.appendLatency)))
+	return s.seq > s.committed && s.now-s.uncommittedSince > stall
 }
 
 // append adds an entry to the next Append and returns its number.
 func (s *Scheduler) append(e *record.Entry) int64 {
-	if s.seq == s.logged {
-		s.unkeptAt = s.now
+	if s.seq == s.committed {
+		s.uncommittedSince = s.now
 	}
 	s.seq++
 	e.Fence, e.Seq = s.fence, s.seq
 	s.entries = append(s.entries, e)
-	s.appendAt = s.now
+	s.lastAppendAt = s.now
 	return s.seq
 }
 
 // afterKept runs do once the entry with number seq is committed.
 func (s *Scheduler) afterKept(seq int64, do func()) {
-	if seq <= s.logged {
+	if seq <= s.committed {
 		do()
 		return
 	}
-	s.whenKept = append(s.whenKept, afterLog{seq: seq, do: do})
+	s.commitCallbacks = append(s.commitCallbacks, commitCallback{seq: seq, do: do})
 }
 
 func (s *Scheduler) flush() {
@@ -231,16 +231,16 @@
 }
 
 func (s *Scheduler) onLogged(ev Logged) {
-	s.logged = ev.Seq
-	s.logTook = s.now - ev.SentAt
-	s.unkeptAt = s.now
+	s.committed = ev.Seq
+	s.appendLatency = s.now - ev.SentAt
+	s.uncommittedSince = s.now
 	s.provenAt = max(s.provenAt, ev.SentAt)
 	n := 0
-	for n < len(s.whenKept) && s.whenKept[n].seq <= ev.Seq {
+	for n < len(s.commitCallbacks) && s.commitCallbacks[n].seq <= ev.Seq {
 		n++
 	}
-	due := s.whenKept[:n]
-	s.whenKept = s.whenKept[n:]
+	due := s.commitCallbacks[:n]
+	s.commitCallbacks = s.commitCallbacks[n:]
 	for _, a := range due {
 		a.do()
 	}
@@ -252,7 +252,7 @@
 	s.fence = fence
 	s.leadSince = s.now
 	s.provenAt = s.now
-	s.appendAt = s.now
+	s.lastAppendAt = s.now
 	for _, w := range s.order {
 		s.takeOver(w)
 	}
@@ -273,14 +273,14 @@
 	if !s.leading() {
 		return
 	}
-	s.startOccurrences()
+	s.addDueOccurrences()
 	s.expireRuns()
 	s.resolveDoubts()
 	s.departed.expire(s.now)
 	s.retireJobs()
 	s.rewriteOld()
 	s.dirty = true
-	if s.now-s.appendAt >= heartbeatEvery {
+	if s.now-s.lastAppendAt >= leaderHeartbeatInterval {
 		s.append(&record.Entry{Kind: &record.Entry_AliveUnixMs{AliveUnixMs: ev.UnixMs}})
 	}
 }
--- a/region/share.go
+++ b/region/share.go
@@ -22,23 +22,23 @@
 	at     time.Duration
 }
 
-// take reports whether a job that arrived at a time is within the share of perS jobs a
-// second. A share of 0 is unlimited.
-func (s *shares) take(perS float64, workspace string, at time.Duration) bool {
-	if perS <= 0 {
+// allow reports whether a job that arrived at a time is within the share, a rate in
+// jobs a second. A rate of 0 is unlimited.
+func (s *shares) allow(rate float64, workspace string, at time.Duration) bool {
+	if rate <= 0 {
 		return true
 	}
 	if s.buckets == nil {
 		s.buckets = make(map[string]*bucket)
 	}
-	most := perS*shareBurst + shareSlack
+	burst := rate*shareBurst + shareSlack
 	b, known := s.buckets[workspace]
 	if !known {
-		b = &bucket{tokens: most, at: at}
+		b = &bucket{tokens: burst, at: at}
 		s.buckets[workspace] = b
 	}
 	if at > b.at {
-		b.tokens = min(most, b.tokens+perS*(at-b.at).Seconds())
+		b.tokens = min(burst, b.tokens+rate*(at-b.at).Seconds())
 		b.at = at
 	}
 	if b.tokens < 1 {
--- a/region/slots.go
+++ b/region/slots.go
@@ -1,13 +1,13 @@
 package region
 
-// slots allocates a small index for each worker, which lets steps keep what they know
+// slotAllocator allocates a small index for each worker, which lets steps keep what they know
 // of workers in slices. The index of a removed worker is allocated again.
-type slots struct {
+type slotAllocator struct {
 	next int
 	free []int
 }
 
-func (s *slots) take() int {
+func (s *slotAllocator) alloc() int {
 	if n := len(s.free); n > 0 {
 		slot := s.free[n-1]
 		s.free = s.free[:n-1]
@@ -17,4 +17,4 @@
 	return s.next - 1
 }
 
-func (s *slots) giveBack(slot int) { s.free = append(s.free, slot) }
+func (s *slotAllocator) giveBack(slot int) { s.free = append(s.free, slot) }
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -11,7 +11,7 @@
 // When a worker leaves, another one gets its slot. Advice about the first must not
 // apply to the second: the ticket names another worker, and every start with it would
 // be refused.
-func TestMarksDoNotPassToALaterWorker(t *testing.T) {
+func TestAdviceIsNotReusedForNextWorkerInSlot(t *testing.T) {
 	s, now := backlog(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.order[0]
@@ -32,7 +32,7 @@
 // A task may run longer than the log retains records. Its job is written again before
 // its records expire, the oldest first, in whatever order the jobs were read. Otherwise
 // the next leader would not know of the job, and its users would lose it.
-func TestOldJobsAreWrittenAnew(t *testing.T) {
+func TestOldJobsAreRewrittenBeforeExpiry(t *testing.T) {
 	s := New(testOptions())
 	now := time.Hour
 	s.Step(now, Tick{UnixMs: now.Milliseconds()})
--- a/region/speed.go
+++ b/region/speed.go
@@ -11,58 +11,58 @@
 // slowest member, and the room of faster members is held idle meanwhile; urgent work on
 // a slow worker is late from its start.
 type speed struct {
-	log    float64
-	weight float64 // total weight of its samples
+	logRatio float64
+	weight   float64 // total weight of its samples
 }
 
 const (
-	// gangSample and taskSample are the weights of a sample. The members of a gang all
-	// have the same amount of work, the tasks of other steps do not.
-	gangSample = 4
-	taskSample = 0.5
-	// priorSample is the weight of the initial estimate that a worker is as fast as the
+	// gangSampleWeight and taskSampleWeight are the weights of a sample. The members of
+	// a gang all have the same amount of work, the tasks of other steps do not.
+	gangSampleWeight = 4
+	taskSampleWeight = 0.5
+	// priorWeight is the weight of the initial estimate that a worker is as fast as the
 	// others.
-	priorSample = 1
-	// speedMemory bounds the weight of earlier samples, so that a worker that becomes
+	priorWeight = 1
+	// maxSpeedWeight bounds the weight of earlier samples, so that a worker that becomes
 	// slow is detected.
-	speedMemory = 12
-	// mostSpeed bounds a sample, as a logarithm. A worker beyond it has a fault, and
+	maxSpeedWeight = 12
+	// maxSpeedSample bounds a sample, as a logarithm. A worker beyond it has a fault, and
 	// how large the difference is does not matter.
-	mostSpeed = 1.5
-	// leastCompared is the least number of runs that are compared, and leastPercent the
-	// least progress at which a gang member counts.
-	leastCompared = 3
-	leastPercent  = 15
+	maxSpeedSample = 1.5
+	// minComparedRuns is the least number of runs that are compared, and minGangPercent
+	// the least progress at which a gang member counts.
+	minComparedRuns = 3
+	minGangPercent  = 15
 )
 
-// sample adds a sample to the estimate.
-func (v *speed) sample(log, weight float64) {
-	log = min(max(log, -mostSpeed), mostSpeed)
-	v.weight = min(v.weight+weight, speedMemory)
-	v.log += (log - v.log) * weight / (v.weight + priorSample)
+// add adds a sample to the estimate.
+func (v *speed) add(log, weight float64) {
+	log = min(max(log, -maxSpeedSample), maxSpeedSample)
+	v.weight = min(v.weight+weight, maxSpeedWeight)
+	v.logRatio += (log - v.logRatio) * weight / (v.weight + priorWeight)
 }
 
-// paceOf is the speed of one run, as the logarithm of work per time in a unit that all
+// runSpeed is the speed of one run, as the logarithm of work per time in a unit that all
 // runs of its step share.
-type paceOf struct {
+type runSpeed struct {
 	worker *worker
 	log    float64
 }
 
 // learnSpeeds compares the runs of one step. The amount of work that they share is
 // estimated by the median, which a few faulty workers do not move.
-func learnSpeeds(runs []paceOf, weight float64) {
-	if len(runs) < leastCompared {
+func learnSpeeds(runs []runSpeed, weight float64) {
+	if len(runs) < minComparedRuns {
 		return
 	}
 	common := make([]float64, 0, len(runs))
 	for _, r := range runs {
-		common = append(common, r.log-r.worker.speed.log)
+		common = append(common, r.log-r.worker.speed.logRatio)
 	}
 	slices.Sort(common)
 	median := (common[(len(common)-1)/2] + common[len(common)/2]) / 2
 	for _, r := range runs {
-		r.worker.speed.sample(r.log-median, weight)
+		r.worker.speed.add(r.log-median, weight)
 	}
 }
 
@@ -75,13 +75,13 @@
 			began = max(began, t.run.startedAt)
 		}
 	}
-	var runs []paceOf
+	var runs []runSpeed
 	for _, t := range st.tasks {
-		if r := t.run; r != nil && r.number == number && r.percent >= leastPercent && r.movedAt > began {
-			runs = append(runs, paceOf{r.worker, math.Log(float64(r.percent) / (r.movedAt - began).Seconds())})
+		if r := t.run; r != nil && r.number == number && r.percent >= minGangPercent && r.movedAt > began {
+			runs = append(runs, runSpeed{r.worker, math.Log(float64(r.percent) / (r.movedAt - began).Seconds())})
 		}
 	}
-	learnSpeeds(runs, gangSample)
+	learnSpeeds(runs, gangSampleWeight)
 }
 
 // learnFromStep compares the tasks of a step by their run times once all are done.
@@ -90,16 +90,16 @@
 	if st.rec.Gang {
 		return
 	}
-	var runs []paceOf
+	var runs []runSpeed
 	for _, t := range st.tasks {
-		if t.ranOn != nil && t.ran > 0 {
-			runs = append(runs, paceOf{t.ranOn, -math.Log(t.ran.Seconds())})
+		if t.ranOn != nil && t.runTime > 0 {
+			runs = append(runs, runSpeed{t.ranOn, -math.Log(t.runTime.Seconds())})
 		}
 	}
-	learnSpeeds(runs, taskSample)
+	learnSpeeds(runs, taskSampleWeight)
 }
 
 // runTimeOn returns the expected run time of a task of the step on a worker.
 func (st *step) runTimeOn(w *worker) time.Duration {
-	return time.Duration(float64(st.job.runTime(st.rec)) * math.Exp(-w.speed.log))
+	return time.Duration(float64(st.job.runTime(st.rec)) * math.Exp(-w.speed.logRatio))
 }
--- a/region/speed_test.go
+++ b/region/speed_test.go
@@ -22,7 +22,7 @@
 }
 
 // ratio returns how many times as fast as b a is estimated to be.
-func ratio(a, b *worker) float64 { return math.Exp(a.speed.log - b.speed.log) }
+func ratio(a, b *worker) float64 { return math.Exp(a.speed.logRatio - b.speed.logRatio) }
 
 // Workers of one size and label differ by half in speed, and only the progress of gang
 // members shows it. One worker reports false progress, which must not change the
@@ -30,16 +30,16 @@
 func TestSpeedsAreLearnedFromGangs(t *testing.T) {
 	workers, speeds := speedWorkers(30)
 	for round := range 30 {
-		var runs []paceOf
+		var runs []runSpeed
 		for i := range 8 {
 			w := workers[(round*7+i*11)%len(workers)]
 			speed := speeds[w] * 100 / float64(round+1) // the amount of work differs between gangs
 			if w == workers[5] {
 				speed *= 1000
 			}
-			runs = append(runs, paceOf{w, math.Log(speed)})
+			runs = append(runs, runSpeed{w, math.Log(speed)})
 		}
-		learnSpeeds(runs, gangSample)
+		learnSpeeds(runs, gangSampleWeight)
 	}
 	for i := 6; i+2 < len(workers); i += 3 {
 		if got := ratio(workers[i+2], workers[i]); got < 1.4 || got > 1.7 {
@@ -49,29 +49,29 @@
 }
 
 // A worker becomes five times slower. Earlier samples must not outweigh that.
-func TestWorkerThatTurnsSlowIsFoundOut(t *testing.T) {
+func TestWorkerThatBecomesSlowIsDetected(t *testing.T) {
 	workers, speeds := speedWorkers(6)
-	play := func(rounds int) {
+	sampleRounds := func(rounds int) {
 		for range rounds {
-			var runs []paceOf
+			var runs []runSpeed
 			for _, w := range workers {
-				runs = append(runs, paceOf{w, math.Log(speeds[w])})
+				runs = append(runs, runSpeed{w, math.Log(speeds[w])})
 			}
-			learnSpeeds(runs, gangSample)
+			learnSpeeds(runs, gangSampleWeight)
 		}
 	}
-	play(100)
+	sampleRounds(100)
 	speeds[workers[0]] /= 5
-	play(4)
+	sampleRounds(4)
 	if got := ratio(workers[0], workers[3]); got > 0.5 {
 		t.Errorf("after four gangs a worker that became five times slower is estimated to be %.2f times as fast", got)
 	}
 }
 
 // Two runs do not show which of them is slow.
-func TestTwoRunsTellNoSpeed(t *testing.T) {
+func TestTwoRunsGiveNoSpeedEstimate(t *testing.T) {
 	workers, _ := speedWorkers(2)
-	learnSpeeds([]paceOf{{workers[0], 0}, {workers[1], 1}}, gangSample)
+	learnSpeeds([]runSpeed{{workers[0], 0}, {workers[1], 1}}, gangSampleWeight)
 	if workers[0].speed != (speed{}) || workers[1].speed != (speed{}) {
 		t.Errorf("speeds %+v, %+v, want no estimate", workers[0].speed, workers[1].speed)
 	}
@@ -80,20 +80,20 @@
 // A gang on workers of different speeds is as slow as its slowest member and holds the
 // room of the fast ones idle. If the workers of one speed have room for all members,
 // the gang goes there.
-func TestGangGoesToWorkersAlike(t *testing.T) {
+func TestGangPrefersWorkersOfSimilarSpeed(t *testing.T) {
 	workers, speeds := speedWorkers(12)
 	var places []gangPlace
 	for _, w := range workers {
-		w.speed.log = math.Log(speeds[w])
+		w.speed.logRatio = math.Log(speeds[w])
 		places = append(places, gangPlace{worker: w, n: 2})
 	}
 	for members, slowest := range map[int]float64{8: 1.25, 9: 1, 16: 1, 17: 0.8, 24: 0.8} {
-		got := uniform(places, members)
+		got := similarSpeedPlaces(places, members)
 		room := 0
 		lowest := math.Inf(1)
 		for _, p := range got {
 			room += p.n
-			lowest = min(lowest, math.Exp(p.worker.speed.log))
+			lowest = min(lowest, math.Exp(p.worker.speed.logRatio))
 		}
 		if room < members || math.Abs(lowest-slowest) > 0.01 {
 			t.Errorf("%d members: room for %d, the slowest worker has speed %.2f, want %.2f", members, room, lowest, slowest)
@@ -107,7 +107,7 @@
 func TestUrgentWorkGoesToFastWorkers(t *testing.T) {
 	w := mixedWorld(t, 3)
 	for i, log := range []float64{-0.22, 0, 0.22} {
-		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{log: log, weight: speedMemory}
+		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{logRatio: log, weight: maxSpeedWeight}
 	}
 	w.submitTo(slowJob("s1", 4), "slow")
 	w.run(100 * time.Millisecond)
@@ -121,10 +121,10 @@
 }
 
 // The same rule for a gang that a pass places.
-func TestGangIsPlacedOnWorkersAlike(t *testing.T) {
+func TestPassPlacesGangOnWorkersOfSimilarSpeed(t *testing.T) {
 	w := mixedWorld(t, 6)
 	for i := range 6 {
-		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{log: []float64{-0.22, 0.22}[i%2], weight: speedMemory}
+		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{logRatio: []float64{-0.22, 0.22}[i%2], weight: maxSpeedWeight}
 	}
 	job := slowJob("g1", 6)
 	job.Steps[0].Gang = true
@@ -132,7 +132,7 @@
 	w.submitTo(job, "slow")
 	w.run(100 * time.Millisecond)
 	for _, task := range w.sched.jobs["g1"].occs[0].steps[0].tasks {
-		if task.run == nil || task.run.worker.speed.log < 0 {
+		if task.run == nil || task.run.worker.speed.logRatio < 0 {
 			t.Errorf("member %d is not on a fast worker", task.index)
 		}
 	}
--- a/region/worker.go
+++ b/region/worker.go
@@ -72,7 +72,7 @@
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
-		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.take(), orders: make(ordersOut), lives: s.departed.lives(id)}
+		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), orders: make(ordersOut), lives: s.departed.lives(id)}
 		s.workers[id] = w
 		s.order = append(s.order, w)
 		if s.leading() {
