--- a/region/job.go
+++ b/region/job.go
@@ -322,7 +322,7 @@
 		s.jobEnded(j)
 		return
 	}
-	s.afterKept(s.seq, func() {
+	s.afterCommit(s.seq, func() {
 		s.explain(j.rec.Id, "completed", Field{"after_ms", (s.now - j.acceptedAt).Milliseconds()},
 			Field{"objective_ms", j.objective.Milliseconds()})
 		s.jobEnded(j)
--- a/region/look.go
+++ b/region/look.go
@@ -158,7 +158,7 @@
 	s.runEnded(w, e)
 	number := e.Number
 	life := w.entry.BornUnix
-	s.afterKept(s.seq, func() {
+	s.afterCommit(s.seq, func() {
 		if w.entry.BornUnix == life {
 			w.acked = max(w.acked, number)
 		}
--- a/region/region.go
+++ b/region/region.go
@@ -213,8 +213,8 @@
 	return s.seq
 }
 
-// afterKept runs do once the entry with number seq is committed.
-func (s *Scheduler) afterKept(seq int64, do func()) {
+// afterCommit runs do once the entry with number seq is committed.
+func (s *Scheduler) afterCommit(seq int64, do func()) {
 	if seq <= s.committed {
 		do()
 		return
--- a/region/run.go
+++ b/region/run.go
@@ -131,7 +131,7 @@
 	s.occupy(r)
 	s.pacer.tokens--
 	t.lastRun = number
-	s.afterKept(s.recordAssigned(r), func() { s.sendStart(r, 0) })
+	s.afterCommit(s.recordAssigned(r), func() { s.sendStart(r, 0) })
 }
 
 // recordAssigned keeps in which life of a worker a run may be alive.
