--- a/region/lease.go
+++ b/region/lease.go
@@ -69,7 +69,7 @@
 // leaseEnd returns the end of a lease that is granted now, on the worker's
 // clock, or 0 if it is not certain that no other host leads.
 func (s *Scheduler) leaseEnd(w *worker) int64 {
-	if !s.proven() {
+	if !s.leadershipConfirmed() {
 		return 0
 	}
 	until := w.clock(s.now) + s.leaseFor(w).Milliseconds()
--- a/region/pass.go
+++ b/region/pass.go
@@ -28,7 +28,7 @@
 	}
 	s.lastPass = s.now
 	s.dirty = false
-	if !s.proven() || s.logStalled() || s.linkLoad > overfullLink {
+	if !s.leadershipConfirmed() || s.logStalled() || s.linkLoad > overfullLink {
 		return
 	}
 	s.pacer.refill(s.opts.StartsPerS, s.now)
--- a/region/region.go
+++ b/region/region.go
@@ -184,14 +184,14 @@
 // leading reports whether this scheduler may send orders to workers.
 func (s *Scheduler) leading() bool { return s.fence > 0 }
 
-// proven reports whether a recent append has proved that no other host leads.
+// leadershipConfirmed reports whether a recent append has proved that no other host leads.
 //
 // The guard is against a leader that is cut off from the log or paused: it would
 // continue to renew leases of workers that its successor cannot reach, and the
 // successor would start their tasks elsewhere. One task would then run twice. The guard
 // holds because the successor waits for logProofLife and a lease from its own claim on,
 // which is later than the last append of its predecessor.
-func (s *Scheduler) proven() bool { return s.now-s.provenAt < logProofLife }
+func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.provenAt < logProofLife }
 
 // logStalled reports whether entries are in flight and the log has committed nothing
 // for too long. More assignments would only queue behind those entries in the present
