--- a/region/region.go
+++ b/region/region.go
@@ -37,11 +37,11 @@
 }
 
 const (
-	// logProofLife is how long a successful append proves that no other host leads.
+	// leadershipProofTTL is how long a successful append proves that no other host leads.
 	// During a longer log outage, leases are no longer renewed and expire. A successor
 	// waits this long before it counts a run on an unreachable worker as lost. 4 s
 	// covers the usual outages of 3 to 5 s together with a lease of 6 s.
-	logProofLife = 4 * time.Second
+	leadershipProofTTL = 4 * time.Second
 	// clockDrift is the maximum share by which a worker's clock may run slower than the
 	// scheduler's.
 	clockDrift = 0.02
@@ -189,9 +189,9 @@
 // The guard is against a leader that is cut off from the log or paused: it would
 // continue to renew leases of workers that its successor cannot reach, and the
 // successor would start their tasks elsewhere. One task would then run twice. The guard
-// holds because the successor waits for logProofLife and a lease from its own claim on,
+// holds because the successor waits for leadershipProofTTL and a lease from its own claim on,
 // which is later than the last append of its predecessor.
-func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.provenAt < logProofLife }
+func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.provenAt < leadershipProofTTL }
 
 // logStalled reports whether entries are in flight and the log has committed nothing
 // for too long. More assignments would only queue behind those entries in the present
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -107,7 +107,7 @@
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
 	w.logDown = true
-	w.run(logProofLife + 100*time.Millisecond)
+	w.run(leadershipProofTTL + 100*time.Millisecond)
 	until := w.workers["w1"].until
 	w.run(2 * time.Second)
 	if later := w.workers["w1"].until; later != until {
--- a/region/worker.go
+++ b/region/worker.go
@@ -84,7 +84,7 @@
 
 // takeOver bounds the leases that a predecessor may have granted.
 func (s *Scheduler) takeOver(w *worker) {
-	w.inherited = s.leadSince + logProofLife + s.maxLease() + lapseMargin
+	w.inherited = s.leadSince + leadershipProofTTL + s.maxLease() + lapseMargin
 	s.look(w, 0)
 }
 
