--- a/region/advice.go
+++ b/region/advice.go
@@ -78,7 +78,7 @@
 	if st.advised() {
 		return st.advice.good
 	}
-	return s.order
+	return s.workerList
 }
 
 // advised steps need a ticket of the advice service.
@@ -197,7 +197,7 @@
 	if st.rec.Gang {
 		need = len(st.tasks)
 	}
-	ahead := st.adviceCost(len(s.order)) + adviceMargin
+	ahead := st.adviceCost(len(s.workerList)) + adviceMargin
 	found := 0
 	for _, w := range s.usableNow {
 		if found >= want {
@@ -228,8 +228,8 @@
 func (s *Scheduler) adviceWanted(st *step) []string {
 	var roomy, full []string
 	stale, unknown := 0, 0
-	soonest := s.now + st.adviceCost(len(s.order)) + adviceMargin
-	for _, w := range s.order {
+	soonest := s.now + st.adviceCost(len(s.workerList)) + adviceMargin
+	for _, w := range s.workerList {
 		if !w.listed || w.entry.Draining || !s.suits(st, w) {
 			continue
 		}
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -25,7 +25,7 @@
 		}})
 		s.Step(now, Held{Order: model.HoldOrder{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Hold: model.Hold{ClockMs: 1, BornUnix: 1}})
 	}
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		w.used.MilliCPU = used
 	}
 	for i := range steps {
@@ -35,7 +35,7 @@
 			Advice: &record.Advice{DecideMs: 5, EachMs: 0.1, ValidMs: 2000}}
 		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
-		for n, w := range s.order {
+		for n, w := range s.workerList {
 			st.advice.note(adviceMark{worker: w, good: (n+i)%3 == 0})
 		}
 	}
@@ -53,7 +53,7 @@
 				for b.Loop() {
 					now += time.Microsecond
 					s.provenAt, s.dirty, s.lastPass = now, true, 0
-					for _, w := range s.order {
+					for _, w := range s.workerList {
 						w.lookedAt = now
 					}
 					s.Step(now, Schedule{})
--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -13,14 +13,14 @@
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
 		w.submitTo(urgentJob("u1"), "urgent")
-		for len(w.sched.order[0].runs) == 0 || w.sched.order[0].runs[0].phase != phaseRunning {
+		for len(w.sched.workerList[0].runs) == 0 || w.sched.workerList[0].runs[0].phase != phaseRunning {
 			w.run(5 * time.Millisecond)
 		}
 		w.workers["w0"].cut = true
-		over := w.sched.order[0].lapsesAt()
+		over := w.sched.workerList[0].lapsesAt()
 		w.linkLoad = load
 		for at := w.now; w.now < at+10*time.Second; w.run(5 * time.Millisecond) {
-			if len(w.sched.order) == 0 || len(w.sched.order[0].runs) == 0 {
+			if len(w.sched.workerList) == 0 || len(w.sched.workerList[0].runs) == 0 {
 				return w.now - over
 			}
 		}
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -57,7 +57,7 @@
 // across racks, where its tasks take a multiple of the time.
 func (s *Scheduler) sameRackWorkers(st *step) ([]*worker, string) {
 	tried := make(map[string]bool)
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		rack := w.entry.Rack()
 		if rack == "" || tried[rack] {
 			continue
--- a/region/pass.go
+++ b/region/pass.go
@@ -34,7 +34,7 @@
 	s.pacer.refill(s.opts.StartsPerS, s.now)
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		w.overdue = w.orders.overdue(before)
 		w.claimed = model.Resources{}
 		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
--- a/region/region.go
+++ b/region/region.go
@@ -73,7 +73,7 @@
 	cancelledEarly map[string]time.Duration
 	workers        map[string]*worker
 	departed       departed
-	order          []*worker // workers in a stable order
+	workerList     []*worker // workers in a stable order
 	slots          slotAllocator
 	usableNow      []*worker // workers that can take new work, in this pass
 	fittingBuf     []*worker // result buffer of fitting
@@ -253,7 +253,7 @@
 	s.leadSince = s.now
 	s.provenAt = s.now
 	s.lastAppendAt = s.now
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		s.takeOver(w)
 	}
 	slices.SortStableFunc(s.written, func(a, b *job) int { return cmp.Compare(a.writtenAt, b.writtenAt) })
--- a/region/worker.go
+++ b/region/worker.go
@@ -74,7 +74,7 @@
 	if !known {
 		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), orders: make(ordersOut), lives: s.departed.lives(id)}
 		s.workers[id] = w
-		s.order = append(s.order, w)
+		s.workerList = append(s.workerList, w)
 		if s.leading() {
 			s.takeOver(w)
 		}
@@ -135,7 +135,7 @@
 // endPredecessorAt ends the runs of a worker that had the address before: a
 // new life holds nothing of the old one, under whatever id.
 func (s *Scheduler) endPredecessorAt(e model.WorkerEntry) {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.entry.Address != e.Address || w.entry.ID == e.ID || w.entry.BornUnix >= e.BornUnix {
 			continue
 		}
@@ -195,9 +195,9 @@
 	delete(s.workers, w.entry.ID)
 	s.departed.add(w.entry.ID, w.lives+1, s.now)
 	s.slots.giveBack(w.slot)
-	for i, o := range s.order {
+	for i, o := range s.workerList {
 		if o == w {
-			s.order = append(s.order[:i], s.order[i+1:]...)
+			s.workerList = append(s.workerList[:i], s.workerList[i+1:]...)
 			return
 		}
 	}
@@ -222,8 +222,8 @@
 
 // expireRuns ends the runs on workers whose leases are over for certain.
 func (s *Scheduler) expireRuns() {
-	for i := len(s.order) - 1; i >= 0; i-- {
-		w := s.order[i]
+	for i := len(s.workerList) - 1; i >= 0; i-- {
+		w := s.workerList[i]
 		if len(w.runs) > 0 && s.now > w.lapsesAt() && !s.delayedByLink(w) {
 			for _, r := range w.sortedRuns() {
 				if r.phase != phaseInDoubt {
