--- a/leader/leader.go
+++ b/leader/leader.go
@@ -298,7 +298,7 @@
 			if names := l.cfg.Hosts(); hosts.changed(names) {
 				d.do(sched.Step(boottime.Now(), region.HostsSeen{Hosts: names}))
 			}
-			tick := region.Tick{UnixMs: time.Now().UnixMilli(), Behind: time.Since(due)}
+			tick := region.Tick{UnixMs: time.Now().UnixMilli(), LoopLag: time.Since(due)}
 			if l.cfg.LinkLoad != nil {
 				tick.LinkLoad = l.cfg.LinkLoad()
 			}
--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -15,7 +15,7 @@
 	pause := func(behind time.Duration) time.Duration {
 		s, now := backlog(1, 0, 0)
 		for range 20 * behindMemory {
-			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
+			s.Step(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
 		}
 		order := model.HoldOrder{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
 		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.Hold{ClockMs: 1, BornUnix: 1}}) {
--- a/region/event.go
+++ b/region/event.go
@@ -82,7 +82,7 @@
 	// share of the driver's link that is in use.
 	Tick struct {
 		UnixMs   int64
-		Behind   time.Duration
+		LoopLag  time.Duration
 		LinkLoad float64
 	}
 
