--- a/region/look.go
+++ b/region/look.go
@@ -116,7 +116,7 @@
 func (s *Scheduler) lookPause() time.Duration {
 	const most = mostLookPause - lookGap
 	crowded := min(max(s.linkLoad-busyLink, 0)/(fullLink-busyLink), 1)
-	return lookGap + max(min(pausePerBehind*s.behind, most), time.Duration(crowded*float64(most)))
+	return lookGap + max(min(pausePerBehind*s.loopLag, most), time.Duration(crowded*float64(most)))
 }
 
 // lookAgain goes on looking, unless the worker left and holds nothing.
--- a/region/region.go
+++ b/region/region.go
@@ -99,7 +99,7 @@
 	leadSince        time.Duration
 	// usualAnswer is a running mean of the time in which workers answer an order.
 	usualAnswer time.Duration
-	behind      time.Duration // running mean of how long events wait for the driver
+	loopLag     time.Duration // running mean of how long events wait for the driver
 	linkLoad    float64       // share of the driver's link in use
 	fullAt      time.Duration // when linkLoad was last above fullLink
 	dirty       bool          // a change may allow a task to start
@@ -265,7 +265,7 @@
 
 func (s *Scheduler) tick(ev Tick) {
 	s.unixMs = ev.UnixMs
-	s.behind += (ev.LoopLag - s.behind) / behindMemory
+	s.loopLag += (ev.LoopLag - s.loopLag) / behindMemory
 	s.linkLoad = ev.LinkLoad
 	if s.linkLoad > fullLink {
 		s.fullAt = s.now
