--- a/region/doubt.go
+++ b/region/doubt.go
@@ -86,7 +86,7 @@
 	s.explain(r.task.step.job.rec.Id, "run in doubt", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index}, Field{"run", r.number},
 		Field{"unanswered", r.calls.unanswered}, Field{"inherited", r.calls.unknown})
-	s.breakGang(r.task, r.number)
+	s.stopOtherMembers(r.task, r.number)
 	s.publish(r.task.step.job)
 }
 
--- a/region/end.go
+++ b/region/end.go
@@ -23,7 +23,7 @@
 		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.lookedAt).Milliseconds()})
 	s.release(r)
 	s.endOf(t, r.number, record.Outcome_OUTCOME_LOST, "")
-	s.breakGang(t, r.number)
+	s.stopOtherMembers(t, r.number)
 	s.publish(t.step.job)
 }
 
@@ -80,7 +80,7 @@
 	if e.Alone {
 		s.explain(e.Task.Job, "gang member ended alone", Field{"step", e.Task.Step}, Field{"task", e.Task.Index}, Field{"run", e.Run})
 	}
-	s.breakGang(t, e.Run)
+	s.stopOtherMembers(t, e.Run)
 }
 
 // countEnd counts the end of a run towards its task and job.
--- a/region/gang.go
+++ b/region/gang.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// breakGang stops the other members of a run after one member has ended.
-func (s *Scheduler) breakGang(t *task, number int32) {
+// stopOtherMembers stops the other members of a run after one member has ended.
+func (s *Scheduler) stopOtherMembers(t *task, number int32) {
 	if !t.step.rec.Gang {
 		return
 	}
--- a/region/run.go
+++ b/region/run.go
@@ -264,7 +264,7 @@
 func (s *Scheduler) giveUp(r *run, why string) {
 	if r.maybeSent {
 		s.stopRun(r, why)
-		s.breakGang(r.task, r.number)
+		s.stopOtherMembers(r.task, r.number)
 		return
 	}
 	s.abandon(r, why)
