--- a/region/job.go
+++ b/region/job.go
@@ -43,7 +43,7 @@
 	open            int           // tasks not done
 	started         bool          // all steps that it depends on are done
 	openAt          time.Duration // when that became true
-	key             time.Duration // latest start that still meets the objective
+	latestStart     time.Duration // latest start that still meets the objective
 	latestForCredit time.Duration // latest start that still earns partial credit
 	queued          bool          // on the ready list
 	advice          adviceState
@@ -194,7 +194,7 @@
 		from = s.now
 	}
 	for i, st := range occ.steps {
-		st.key = from + objective - criticalPath[i]
+		st.latestStart = from + objective - criticalPath[i]
 		st.latestForCredit = from + partialCredit*objective - criticalPath[i]
 	}
 }
--- a/region/pass.go
+++ b/region/pass.go
@@ -149,7 +149,7 @@
 		return classOnTime // it has no objective and is to run at any time
 	case s.now > st.latestForCredit:
 		return classNoCredit
-	case s.now > st.key:
+	case s.now > st.latestStart:
 		return classPartialCredit
 	case st.job.overShare:
 		return classOverShare
--- a/region/place.go
+++ b/region/place.go
@@ -46,7 +46,7 @@
 		return
 	}
 	s.explain(st.job.rec.Id, "assigned", Field{"occurrence", st.occ.k}, Field{"step", st.index}, Field{"workers", workers},
-		Field{"waited_ms", (s.now - st.openAt).Milliseconds()}, Field{"slack_ms", (st.key - s.now).Milliseconds()},
+		Field{"waited_ms", (s.now - st.openAt).Milliseconds()}, Field{"slack_ms", (st.latestStart - s.now).Milliseconds()},
 		Field{"advised_ms_after", max(0, st.advice.firstAt-st.openAt).Milliseconds()}, Field{"held_by", st.blocked})
 }
 
@@ -141,7 +141,7 @@
 // urgent small tasks that can still be on time, as they end soon, and long-running
 // tasks, which precede all other work.
 func (s *Scheduler) ignoresReservations(st *step) bool {
-	return st.rec.LongRunning || st.job.rec.Policy.GetPriority() == 0 && s.now <= st.key
+	return st.rec.LongRunning || st.job.rec.Policy.GetPriority() == 0 && s.now <= st.latestStart
 }
 
 // admits reports whether the reservations of the worker let the step use it.
--- a/region/ready.go
+++ b/region/ready.go
@@ -19,7 +19,7 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.job.rec.Policy.GetPriority(), b.job.rec.Policy.GetPriority()),
-		cmp.Compare(a.key, b.key),
+		cmp.Compare(a.latestStart, b.latestStart),
 		cmp.Compare(a.job.rec.Id, b.job.rec.Id),
 		cmp.Compare(a.occ.k, b.occ.k),
 		cmp.Compare(a.index, b.index),
