--- a/region/advice.go
+++ b/region/advice.go
@@ -134,12 +134,12 @@
 		return false
 	}
 	if s.linkLoad > fullLink && !st.pressing {
-		st.blocked = "link" // calls for advice name many workers: they are the largest
+		st.heldBy = "link" // calls for advice name many workers: they are the largest
 		s.dirty = true
 		return false
 	}
 	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.mostAsked()), s.now) == nil {
-		st.blocked = "advice backlog"
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return false
 	}
@@ -172,7 +172,7 @@
 	cost := st.adviceCost(len(names))
 	host := s.advisers.pick(s.lanes, st.job.rec.Queue, cost, s.now)
 	if host == nil {
-		st.blocked = "advice backlog"
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return
 	}
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -30,7 +30,7 @@
 	}
 	n := len(st.tasks)
 	if !s.withinCap(st, int64(n)) {
-		st.blocked = "cap"
+		st.heldBy = "cap"
 		return true // more room does not help, so nothing is reserved
 	}
 	chosen, why := s.gangWorkers(st, "")
@@ -38,7 +38,7 @@
 		chosen, why = s.sameRackWorkers(st)
 	}
 	if chosen == nil {
-		st.blocked = why
+		st.heldBy = why
 		return false
 	}
 	s.freeBounds.assigned = true
@@ -49,7 +49,7 @@
 		placed = append(placed, chosen[i].entry.ID)
 	}
 	s.explainPlaced(st, placed)
-	st.blocked = ""
+	st.heldBy = ""
 	return true
 }
 
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -170,7 +170,7 @@
 	out := ""
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
-			out += fmt.Sprintf(" step %d queued %v blocked %q:", st.index, st.queued, st.blocked)
+			out += fmt.Sprintf(" step %d queued %v blocked %q:", st.index, st.queued, st.heldBy)
 			for _, t := range st.tasks {
 				out += fmt.Sprintf(" [done %v run %d ended %d", t.done, t.lastRun, t.endedRun)
 				if t.run != nil {
--- a/region/job.go
+++ b/region/job.go
@@ -47,7 +47,7 @@
 	latestForCredit time.Duration // latest start that still earns partial credit
 	queued          bool          // on the ready list
 	advice          adviceState
-	blocked         string // why it could not start in the last pass that tried it; reported as held_by
+	heldBy          string // why it could not start in the last pass that tried it; reported as held_by
 	notUntil        time.Duration
 	pressing        bool // as of the newest pass
 
--- a/region/pass.go
+++ b/region/pass.go
@@ -186,13 +186,13 @@
 			continue
 		}
 		if !s.canStart() {
-			st.blocked = "link"
+			st.heldBy = "link"
 			s.dirty = true
 			return
 		}
 		reserving := st.rec.Gang && gangs < maxFirmReservations+maxSoftReservations && (gangs < maxFirmReservations || c <= classOverShare)
 		if !reserving && s.infeasible(st) {
-			st.blocked = reasonNames[rejectRoom]
+			st.heldBy = reasonNames[rejectRoom]
 			s.preemptFor(st)
 			if c <= classOverShare {
 				s.wantFirstAdvice(st)
--- a/region/place.go
+++ b/region/place.go
@@ -47,7 +47,7 @@
 	}
 	s.explain(st.job.rec.Id, "assigned", Field{"occurrence", st.occ.k}, Field{"step", st.index}, Field{"workers", workers},
 		Field{"waited_ms", (s.now - st.openAt).Milliseconds()}, Field{"slack_ms", (st.latestStart - s.now).Milliseconds()},
-		Field{"advised_ms_after", max(0, st.advice.firstAt-st.openAt).Milliseconds()}, Field{"held_by", st.blocked})
+		Field{"advised_ms_after", max(0, st.advice.firstAt-st.openAt).Milliseconds()}, Field{"held_by", st.heldBy})
 }
 
 // placeTasks starts as many waiting tasks of a step as fit.
@@ -60,11 +60,11 @@
 			continue
 		}
 		if !s.withinCap(st, 1) {
-			st.blocked = "cap"
+			st.heldBy = "cap"
 			return
 		}
 		if len(fitting) == 0 {
-			st.blocked = why
+			st.heldBy = why
 			return
 		}
 		at := s.bestIndex(st, fitting)
@@ -78,7 +78,7 @@
 			fitting = slices.Delete(fitting, at, at+1)
 		}
 	}
-	st.blocked = ""
+	st.heldBy = ""
 }
 
 // fitting returns the workers that can take a task of the step now, and the main reason
