--- a/region/job.go
+++ b/region/job.go
@@ -41,7 +41,7 @@
 	request         model.Resources
 	tasks           []*task
 	open            int           // tasks not done
-	started         bool          // all steps that it depends on are done
+	ready           bool          // all steps that it depends on are done
 	openAt          time.Duration // when that became true
 	latestStart     time.Duration // latest start that still meets the objective
 	latestForCredit time.Duration // latest start that still earns partial credit
@@ -154,13 +154,13 @@
 		if st.open == 0 || st.job.over() {
 			continue
 		}
-		st.started = true
+		st.ready = true
 		for _, d := range st.rec.DependsOn {
 			if occ.steps[d].open > 0 {
-				st.started = false
+				st.ready = false
 			}
 		}
-		if st.started {
+		if st.ready {
 			if st.openAt == 0 {
 				st.openAt = s.now
 			}
