--- a/region/job.go
+++ b/region/job.go
@@ -42,7 +42,7 @@
 	tasks           []*task
 	open            int           // tasks not done
 	ready           bool          // all steps that it depends on are done
-	openAt          time.Duration // when that became true
+	readyAt         time.Duration // when that became true
 	latestStart     time.Duration // latest start that still meets the objective
 	latestForCredit time.Duration // latest start that still earns partial credit
 	queued          bool          // on the ready list
@@ -161,8 +161,8 @@
 			}
 		}
 		if st.ready {
-			if st.openAt == 0 {
-				st.openAt = s.now
+			if st.readyAt == 0 {
+				st.readyAt = s.now
 			}
 			s.enqueue(st)
 		}
--- a/region/lease.go
+++ b/region/lease.go
@@ -117,6 +117,6 @@
 	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
 		return false
 	}
-	patience := time.Duration(apartShare * float64(st.latestStart-st.openAt))
-	return s.now < st.openAt+patience
+	patience := time.Duration(apartShare * float64(st.latestStart-st.readyAt))
+	return s.now < st.readyAt+patience
 }
--- a/region/place.go
+++ b/region/place.go
@@ -46,8 +46,8 @@
 		return
 	}
 	s.explain(st.job.rec.Id, "assigned", Field{"occurrence", st.occ.k}, Field{"step", st.index}, Field{"workers", workers},
-		Field{"waited_ms", (s.now - st.openAt).Milliseconds()}, Field{"slack_ms", (st.latestStart - s.now).Milliseconds()},
-		Field{"advised_ms_after", max(0, st.advice.firstAt-st.openAt).Milliseconds()}, Field{"held_by", st.heldBy})
+		Field{"waited_ms", (s.now - st.readyAt).Milliseconds()}, Field{"slack_ms", (st.latestStart - s.now).Milliseconds()},
+		Field{"advised_ms_after", max(0, st.advice.firstAt-st.readyAt).Milliseconds()}, Field{"held_by", st.heldBy})
 }
 
 // placeTasks starts as many waiting tasks of a step as fit.
