--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -69,7 +69,7 @@
 		d.leader.writer.Write(data, func(k logwriter.Kept) {
 			if last {
 				d.leader.loggedAt.Store(int64(boottime.Now()))
-				d.leader.push(d.ctx, region.Logged{Seq: seq, SentAt: k.SentAt})
+				d.leader.push(d.ctx, region.Committed{Seq: seq, SentAt: k.SentAt})
 			}
 		})
 	}
--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -45,7 +45,7 @@
 	s := New(testOptions())
 	s.Step(time.Hour, Lead{Fence: 1})
 	s.seq = 1
-	s.Step(time.Hour+append, Logged{Seq: 1, SentAt: time.Hour})
+	s.Step(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
 	s.seq = 2
 	s.now = time.Hour + 2*append
 	if s.logStalled() {
--- a/region/event.go
+++ b/region/event.go
@@ -36,9 +36,9 @@
 	// WorkerUnlisted reports that a worker is no longer on the host list.
 	WorkerUnlisted struct{ ID string }
 
-	// Logged reports that all entries up to Seq are committed. SentAt is when the
+	// Committed reports that all entries up to Seq are committed. SentAt is when the
 	// append that proves it was sent.
-	Logged struct {
+	Committed struct {
 		Seq    int64
 		SentAt time.Duration
 	}
@@ -97,7 +97,7 @@
 func (ConfigRead) isEvent()     {}
 func (WorkerListed) isEvent()   {}
 func (WorkerUnlisted) isEvent() {}
-func (Logged) isEvent()         {}
+func (Committed) isEvent()      {}
 func (Held) isEvent()           {}
 func (StartAnswered) isEvent()  {}
 func (StopAnswered) isEvent()   {}
--- a/region/region.go
+++ b/region/region.go
@@ -156,7 +156,7 @@
 		s.workerListed(ev.Entry)
 	case WorkerUnlisted:
 		s.workerUnlisted(ev.ID)
-	case Logged:
+	case Committed:
 		s.onLogged(ev)
 	case Held:
 		s.held(ev)
@@ -230,7 +230,7 @@
 	s.entries = nil
 }
 
-func (s *Scheduler) onLogged(ev Logged) {
+func (s *Scheduler) onLogged(ev Committed) {
 	s.committed = ev.Seq
 	s.appendLatency = s.now - ev.SentAt
 	s.uncommittedSince = s.now
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -284,7 +284,7 @@
 			continue // the log has fenced this scheduler off
 		}
 		w.entries = append(w.entries, u.append.Entries...)
-		w.answer(u.life, testDelay, func() Event { return Logged{Seq: u.append.Seq, SentAt: u.sent} })
+		w.answer(u.life, testDelay, func() Event { return Committed{Seq: u.append.Seq, SentAt: u.sent} })
 	}
 	w.unsent = nil
 }
