--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -148,7 +148,7 @@
 	case platform.ReasonOld:
 		return region.CallOldRun
 	case platform.ReasonLate:
-		return region.CallLate
+		return region.CallLeaseExpired
 	case platform.ReasonRoom:
 		return region.CallNoRoom
 	case platform.ReasonTicket:
--- a/region/run.go
+++ b/region/run.go
@@ -213,7 +213,7 @@
 		s.retryStart(r)
 	case CallNotSent:
 		s.retryStart(r)
-	case CallLate:
+	case CallLeaseExpired:
 		r.leaseTo = 0
 		s.retryStart(r)
 	case CallOtherLife, CallFenced:
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -36,7 +36,7 @@
 	fw.fence = o.Fence
 	w.lapse(fw)
 	if o.UntilMs < fw.clock(w.now) {
-		return CallLate
+		return CallLeaseExpired
 	}
 	fw.until = max(fw.until, min(o.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
 	if r, ok := fw.runs[o.Task]; ok && r.number == o.Run {
