--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -156,7 +156,7 @@
 	}
 	switch {
 	case platform.IsOtherLife(err):
-		return region.CallOtherLife
+		return region.CallOtherIncarnation
 	case platform.IsRefused(err):
 		return region.CallRefused
 	case platform.IsNotSent(err):
--- a/region/event.go
+++ b/region/event.go
@@ -111,16 +111,16 @@
 
 // Outcomes of a call to a worker.
 const (
-	CallOK           CallError = iota // executed
-	CallNotSent                       // certainly not executed: no connection
-	CallRefused                       // certainly not executed: the worker rejected it
-	CallFenced                        // the worker has seen a higher fencing token
-	CallOldRun                        // the run was stopped or has ended there before
-	CallLeaseExpired                  // the lease that the order grants has expired
-	CallNoRoom                        // the worker has no room for it
-	CallNoTicket                      // the ticket is not valid on the worker
-	CallOtherLife                     // another incarnation of the worker answered
-	CallNoAnswer                      // may have been executed, or may be executed later
+	CallOK               CallError = iota // executed
+	CallNotSent                           // certainly not executed: no connection
+	CallRefused                           // certainly not executed: the worker rejected it
+	CallFenced                            // the worker has seen a higher fencing token
+	CallOldRun                            // the run was stopped or has ended there before
+	CallLeaseExpired                      // the lease that the order grants has expired
+	CallNoRoom                            // the worker has no room for it
+	CallNoTicket                          // the ticket is not valid on the worker
+	CallOtherIncarnation                  // another incarnation of the worker answered
+	CallNoAnswer                          // may have been executed, or may be executed later
 )
 
 // Commands that Step returns. A command with a field After is executed after that delay.
--- a/region/look.go
+++ b/region/look.go
@@ -82,7 +82,7 @@
 	case CallFenced:
 		s.emit(Deposed{Worker: w.entry.ID})
 		return
-	case CallOtherLife:
+	case CallOtherIncarnation:
 		s.otherLife(w)
 		s.lookAgain(w, lookRetry)
 		return
--- a/region/run.go
+++ b/region/run.go
@@ -216,7 +216,7 @@
 	case CallLeaseExpired:
 		r.leaseTo = 0
 		s.retryStart(r)
-	case CallOtherLife, CallFenced:
+	case CallOtherIncarnation, CallFenced:
 		s.otherLife(r.worker)
 	case CallRefused:
 		r.worker.pausedTo = s.now + unhealthyPause
@@ -304,7 +304,7 @@
 		r.settledAt = s.now
 	case CallFenced:
 		s.emit(Deposed{Worker: r.ref.ID})
-	case CallOtherLife:
+	case CallOtherIncarnation:
 		s.otherLife(r.worker)
 	default:
 		s.sendStop(r, stopRetry)
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -142,7 +142,7 @@
 			tell(testDelay, CallNotSent)
 			return
 		case fw.entry.BornUnix != ref.BornUnix:
-			tell(2*testDelay, CallOtherLife)
+			tell(2*testDelay, CallOtherIncarnation)
 			return
 		case w.rng.IntN(newConnection) == 0 && w.late("proof") > 0:
 			tell(callTimeout, CallNotSent)
