--- a/region/advisers.go
+++ b/region/advisers.go
@@ -101,7 +101,7 @@
 
 // pick returns the host with the shortest backlog of those that may take a call
 // of that queue and length, or nil if none has a backlog that is short enough.
-func (a *advisers) pick(l lanes, queue string, cost, now time.Duration) *adviser {
+func (a *advisers) pick(l adviceTiers, queue string, cost, now time.Duration) *adviser {
 	var best *adviser
 	for _, h := range a.hosts[l.first(queue, len(a.hosts)):] {
 		if h.takes(cost, now) && (best == nil || h.backlog(now) < best.backlog(now)) {
--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -93,7 +93,7 @@
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	for i, cost := range []time.Duration{longAdvice / 5, longAdvice, longAdvice} {
-		h := a.pick(lanes{}, "q", cost, 0)
+		h := a.pick(adviceTiers{}, "q", cost, 0)
 		if h == nil {
 			t.Fatalf("call %d is not taken", i)
 		}
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -11,20 +11,20 @@
 // the queues get separate lanes.
 const tierRatio = 3
 
-// lanes groups the queues by the length of their advice calls. The advice service
+// adviceTiers groups the queues by the length of their advice calls. The advice service
 // answers the calls of one host in sequence, so that a call sent after a much longer
 // one waits many times its own length, and work whose advice is quick starts too late.
 // Each lane but the first leaves some hosts to shorter calls. Lanes follow from the
 // configured queues: if all calls are of similar length there is one lane, which uses
 // every host.
-type lanes struct {
+type adviceTiers struct {
 	byQueue map[string]int
 	count   int
 }
 
 // adviceTiersOf computes the lanes of a configuration.
-func adviceTiersOf(c *model.Config) lanes {
-	l := lanes{byQueue: make(map[string]int)}
+func adviceTiersOf(c *model.Config) adviceTiers {
+	l := adviceTiers{byQueue: make(map[string]int)}
 	type queueCost struct {
 		name string
 		ms   float64
@@ -49,7 +49,7 @@
 
 // first returns the index of the first host that a call of the queue may use: the
 // shortest calls may use all hosts, the next ones three quarters, the rest half.
-func (l lanes) first(queue string, hosts int) int {
+func (l adviceTiers) first(queue string, hosts int) int {
 	lane, known := l.byQueue[queue]
 	if !known {
 		lane = l.count - 1 // the queue is no longer configured: its calls are not to delay others
--- a/region/region.go
+++ b/region/region.go
@@ -80,7 +80,7 @@
 	ready          readyList // steps with waiting tasks, most urgent first
 	used           map[string]model.Resources
 	advisers       advisers
-	lanes          lanes
+	lanes          adviceTiers
 	periodic       []*job // jobs with further occurrences
 	written        []*job // jobs in the order of writtenAt
 	finished       []*job // jobs in the order they ended
