--- a/region/doubt.go
+++ b/region/doubt.go
@@ -82,7 +82,7 @@
 	r.phase = phaseInDoubt
 	r.settledAt = 0
 	delete(r.worker.orders, r.id())
-	s.doubts = append(s.doubts, r)
+	s.inDoubtRuns = append(s.inDoubtRuns, r)
 	s.explain(r.task.step.job.rec.Id, "run in doubt", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index}, Field{"run", r.number},
 		Field{"unanswered", r.calls.unanswered}, Field{"inherited", r.calls.unknown})
@@ -92,16 +92,16 @@
 
 // resolveDoubts ends the runs in doubt that can begin no more.
 func (s *Scheduler) resolveDoubts() {
-	if len(s.doubts) == 0 {
+	if len(s.inDoubtRuns) == 0 {
 		return
 	}
-	held := slices.Clone(s.doubts)
-	s.doubts = s.doubts[:0]
+	held := slices.Clone(s.inDoubtRuns)
+	s.inDoubtRuns = s.inDoubtRuns[:0]
 	for _, r := range held {
 		switch {
 		case r.task.run != r || r.phase != phaseInDoubt:
 		case s.inDoubt(r):
-			s.doubts = append(s.doubts, r)
+			s.inDoubtRuns = append(s.inDoubtRuns, r)
 		default:
 			s.lose(r, "no start of it can be carried out any more")
 		}
