--- a/region/slots.go
+++ b/region/slots.go
@@ -17,4 +17,4 @@
 	return s.next - 1
 }
 
-func (s *slotAllocator) giveBack(slot int) { s.free = append(s.free, slot) }
+func (s *slotAllocator) release(slot int) { s.free = append(s.free, slot) }
--- a/region/worker.go
+++ b/region/worker.go
@@ -194,7 +194,7 @@
 func (s *Scheduler) forget(w *worker) {
 	delete(s.workers, w.entry.ID)
 	s.departed.add(w.entry.ID, w.lives+1, s.now)
-	s.slots.giveBack(w.slot)
+	s.slots.release(w.slot)
 	for i, o := range s.workerList {
 		if o == w {
 			s.workerList = append(s.workerList[:i], s.workerList[i+1:]...)
