--- a/region/advice.go
+++ b/region/advice.go
@@ -138,7 +138,7 @@
 		s.dirty = true
 		return false
 	}
-	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.mostAsked()), s.now) == nil {
+	if s.advisers.pick(s.adviceTiers, st.job.rec.Queue, st.adviceCost(st.mostAsked()), s.now) == nil {
 		st.heldBy = "advice backlog"
 		s.dirty = true
 		return false
@@ -170,7 +170,7 @@
 		return
 	}
 	cost := st.adviceCost(len(names))
-	host := s.advisers.pick(s.lanes, st.job.rec.Queue, cost, s.now)
+	host := s.advisers.pick(s.adviceTiers, st.job.rec.Queue, cost, s.now)
 	if host == nil {
 		st.heldBy = "advice backlog"
 		s.dirty = true
--- a/region/region.go
+++ b/region/region.go
@@ -80,7 +80,7 @@
 	ready          readyList // steps with waiting tasks, most urgent first
 	used           map[string]model.Resources
 	advisers       advisers
-	lanes          adviceTiers
+	adviceTiers    adviceTiers
 	periodic       []*job // jobs with further occurrences
 	written        []*job // jobs in the order of writtenAt
 	finished       []*job // jobs in the order they ended
@@ -149,7 +149,7 @@
 	case ConfigRead:
 		s.config = ev.Config
 		if ev.Config != nil {
-			s.lanes = adviceTiersOf(ev.Config)
+			s.adviceTiers = adviceTiersOf(ev.Config)
 		}
 		s.dirty = true
 	case WorkerListed:
