--- a/region/region.go
+++ b/region/region.go
@@ -157,7 +157,7 @@
 	case WorkerUnlisted:
 		s.workerUnlisted(ev.ID)
 	case Committed:
-		s.onLogged(ev)
+		s.onCommitted(ev)
 	case Held:
 		s.held(ev)
 	case StartAnswered:
@@ -230,7 +230,7 @@
 	s.entries = nil
 }
 
-func (s *Scheduler) onLogged(ev Committed) {
+func (s *Scheduler) onCommitted(ev Committed) {
 	s.committed = ev.Seq
 	s.appendLatency = s.now - ev.SentAt
 	s.uncommittedSince = s.now
