--- a/region/advisers.go
+++ b/region/advisers.go
@@ -103,7 +103,7 @@
 // of that queue and length, or nil if none has a backlog that is short enough.
 func (a *advisers) pick(l adviceTiers, queue string, cost, now time.Duration) *adviser {
 	var best *adviser
-	for _, h := range a.hosts[l.first(queue, len(a.hosts)):] {
+	for _, h := range a.hosts[l.firstHost(queue, len(a.hosts)):] {
 		if h.takes(cost, now) && (best == nil || h.backlog(now) < best.backlog(now)) {
 			best = h
 		}
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -52,7 +52,7 @@
 				s, now := backlog(size.workers, size.steps, used)
 				for b.Loop() {
 					now += time.Microsecond
-					s.provenAt, s.dirty, s.lastPass = now, true, 0
+					s.lastProofAt, s.dirty, s.lastPass = now, true, 0
 					for _, w := range s.workerList {
 						w.lookedAt = now
 					}
--- a/region/event.go
+++ b/region/event.go
@@ -77,7 +77,7 @@
 	// HostsSeen lists the hosts through which the advice service can be called.
 	HostsSeen struct{ Hosts []string }
 
-	// Tick advances time. UnixMs is the time of day. Behind is how late the driver
+	// Tick advances time. UnixMs is the time of day. LoopLag is how late the driver
 	// handled the tick; on a busy processor every event waits as long. LinkLoad is the
 	// share of the driver's link that is in use.
 	Tick struct {
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxFirmReservations is how many gangs at a time reserve workers against all other batch
-	// work. Each keeps that work off a few workers while it waits.
+	// maxFirmReservations is how many gangs at a time reserve workers against all other
+	// batch work. Each keeps that work off a few workers while it waits.
 	maxFirmReservations = 2
-	// maxSoftReservations is how many further gangs that can still be on time reserve workers
-	// against late work. It is the number of gangs that arrive while one collects its
-	// room: about 2 a second for 3 s.
+	// maxSoftReservations is how many further gangs that can still be on time reserve
+	// workers against late work. It is the number of gangs that arrive while one
+	// collects its room: about 2 a second for 3 s.
 	maxSoftReservations = 6
 	// freeHorizon is how far ahead a gang counts room that running tasks are expected to
 	// free.
@@ -100,9 +100,9 @@
 	return packGang(similarSpeedPlaces(places, len(st.tasks)), len(st.tasks)), ""
 }
 
-// similarSpeedPlaces returns the places with room for all members whose workers differ least in
-// speed. A gang is as slow as its slowest member, and the room of faster members is
-// held idle meanwhile. Of sets that differ equally the fastest is chosen.
+// similarSpeedPlaces returns the places with room for all members whose workers differ
+// least in speed. A gang is as slow as its slowest member, and the room of faster
+// members is held idle meanwhile. Of sets that differ equally the fastest is chosen.
 func similarSpeedPlaces(places []gangPlace, members int) []gangPlace {
 	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.logRatio, a.worker.speed.logRatio) })
 	var (
@@ -134,8 +134,8 @@
 	sharingScore float64 // rank by the other work there, from apartScore
 }
 
-// preferredTo reports whether a gang prefers a to b: first by the other work there, then by
-// how many members fit.
+// preferredTo reports whether a gang prefers a to b: first by the other work there,
+// then by how many members fit.
 func (a gangPlace) preferredTo(b gangPlace) bool {
 	if a.sharingScore != b.sharingScore {
 		return a.sharingScore > b.sharingScore
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -8,21 +8,21 @@
 )
 
 // tierRatio is the ratio between the lengths of advice calls of two queues above which
-// the queues get separate lanes.
+// the queues get separate tiers.
 const tierRatio = 3
 
 // adviceTiers groups the queues by the length of their advice calls. The advice service
 // answers the calls of one host in sequence, so that a call sent after a much longer
 // one waits many times its own length, and work whose advice is quick starts too late.
-// Each lane but the first leaves some hosts to shorter calls. Lanes follow from the
-// configured queues: if all calls are of similar length there is one lane, which uses
+// Each tier but the first leaves some hosts to shorter calls. Tiers follow from the
+// configured queues: if all calls are of similar length there is one tier, which uses
 // every host.
 type adviceTiers struct {
 	byQueue map[string]int
 	count   int
 }
 
-// adviceTiersOf computes the lanes of a configuration.
+// adviceTiersOf computes the tiers of a configuration.
 func adviceTiersOf(c *model.Config) adviceTiers {
 	l := adviceTiers{byQueue: make(map[string]int)}
 	type queueCost struct {
@@ -47,18 +47,19 @@
 	return l
 }
 
-// first returns the index of the first host that a call of the queue may use: the
-// shortest calls may use all hosts, the next ones three quarters, the rest half.
-func (l adviceTiers) first(queue string, hosts int) int {
-	lane, known := l.byQueue[queue]
+// firstHost returns the index of the first host that a call of the queue may use: calls
+// of the first tier may use all hosts, those of the second three quarters, the rest
+// half.
+func (l adviceTiers) firstHost(queue string, hosts int) int {
+	tier, known := l.byQueue[queue]
 	if !known {
-		lane = l.count - 1 // the queue is no longer configured: its calls are not to delay others
+		tier = l.count - 1 // the queue is no longer configured: its calls are not to delay others
 	}
 	var from int
 	switch {
-	case lane <= 0:
+	case tier <= 0:
 		return 0
-	case lane == 1:
+	case tier == 1:
 		from = (hosts + 3) / 4
 	default:
 		from = (hosts + 1) / 2
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -46,7 +46,7 @@
 	w.mustComplete("middle")
 }
 
-// Queues with calls of similar length share a lane, so that no host is kept idle for
+// Queues with calls of similar length share a tier, so that no host is kept idle for
 // shorter calls that do not exist.
 func TestAdviceTiers(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -65,11 +65,11 @@
 		}
 		l := adviceTiersOf(c)
 		for i, want := range tc.first {
-			if got := l.first(fmt.Sprint(i), 8); got != want {
+			if got := l.firstHost(fmt.Sprint(i), 8); got != want {
 				t.Errorf("%s: queue %d uses hosts from %d on, want %d", name, i, got, want)
 			}
 		}
-		if got := l.first("0", 1); got != 0 {
+		if got := l.firstHost("0", 1); got != 0 {
 			t.Errorf("%s: the only host is not used", name)
 		}
 	}
--- a/region/learn.go
+++ b/region/learn.go
@@ -119,16 +119,17 @@
 	// take to count as a straggler. Real run times reach two and a half times their
 	// mean, and healthy workers are up to 1.6 times as fast as each other.
 	stragglerFactor = 4
-	// stragglerMinRunTime is how long a run must have run before its progress is projected.
+	// stragglerMinRunTime is how long a run must have run before its progress is
+	// projected.
 	stragglerMinRunTime = 300 * time.Millisecond
-	// stragglerMinSamples is how many ends of a queue are needed before its run times are used
-	// for this.
+	// stragglerMinSamples is how many ends of a queue are needed before its run times
+	// are used for this.
 	stragglerMinSamples = 10
 )
 
-// isStraggler reports whether a run is a straggler that would end sooner if it were started
-// again elsewhere. Its worker is then slow: it answers and no task on it fails, but
-// runs there take many times as long, and urgent work ends too late.
+// isStraggler reports whether a run is a straggler that would end sooner if it were
+// started again elsewhere. Its worker is then slow: it answers and no task on it fails,
+// but runs there take many times as long, and urgent work ends too late.
 //
 // A task is moved at most once. One that really takes that long would otherwise be
 // stopped again and again and never end.
--- a/region/pass.go
+++ b/region/pass.go
@@ -12,7 +12,8 @@
 	// events arrive in a second, and a pass for several of them costs as much as for
 	// one.
 	basePassInterval = 4 * time.Millisecond
-	// passIntervalPerStep lengthens that time for each waiting step: by 10 ms at 500 steps.
+	// passIntervalPerStep lengthens that time for each waiting step: by 10 ms at 500
+	// steps.
 	passIntervalPerStep = 20 * time.Microsecond
 	// headTries and tailTries bound the steps of a class on which placement fails in
 	// one pass: the most urgent ones, and as many further ones in rotation. The
--- a/region/place.go
+++ b/region/place.go
@@ -72,7 +72,8 @@
 		s.assign(t, w, t.lastRun+1)
 		s.freeBounds.assigned = true
 		placed = append(placed, w.entry.ID)
-		// The assignment doesn't change the feasibility of any other worker for this step.
+		// The assignment doesn't change the feasibility of any other worker for this
+		// step.
 		if rejection := s.reject(st, w); rejection != fits {
 			why = reasonNames[rejection]
 			fitting = slices.Delete(fitting, at, at+1)
@@ -137,9 +138,9 @@
 	return fits
 }
 
-// ignoresReservations reports whether the step may use workers that are reserved for a gang:
-// urgent small tasks that can still be on time, as they end soon, and long-running
-// tasks, which precede all other work.
+// ignoresReservations reports whether the step may use workers that are reserved for a
+// gang: urgent small tasks that can still be on time, as they end soon, and
+// long-running tasks, which precede all other work.
 func (s *Scheduler) ignoresReservations(st *step) bool {
 	return st.rec.LongRunning || st.job.rec.Policy.GetPriority() == 0 && s.now <= st.latestStart
 }
@@ -169,9 +170,9 @@
 	return n
 }
 
-// interferesWith reports whether the step and the runs on the worker would interfere. Tasks
-// that fill (best-effort tasks on leftover processors) slow down tasks that serve users
-// under a latency target, by amounts that nobody declares.
+// interferesWith reports whether the step and the runs on the worker would interfere.
+// Tasks that fill (best-effort tasks on leftover processors) slow down tasks that serve
+// users under a latency target, by amounts that nobody declares.
 func (st *step) interferesWith(w *worker) bool {
 	if !st.rec.Fills && st.rec.TargetMs == 0 {
 		return false
--- a/region/region.go
+++ b/region/region.go
@@ -42,15 +42,15 @@
 	// waits this long before it counts a run on an unreachable worker as lost. 4 s
 	// covers the usual outages of 3 to 5 s together with a lease of 6 s.
 	leadershipProofTTL = 4 * time.Second
-	// clockDrift is the maximum share by which a worker's clock may run slower than the
+	// clockDrift is the largest share by which a worker's clock may run slower than the
 	// scheduler's.
 	clockDrift = 0.02
 	// lapseMargin is added to the computed end of a lease, since a worker needs some
 	// time to stop the runs under it.
 	lapseMargin = 300 * time.Millisecond
 	// logStall is how long the log may commit nothing before new assignments stop:
-	// about ten times its usual latency, and less than a ticket is valid. If the newest
-	// append took longer, the limit is logStallFactor times its latency.
+	// about ten times its usual latency, and less than a ticket is valid. The limit is
+	// logStallFactor times the latency of the newest append if that is longer.
 	logStall       = 250 * time.Millisecond
 	logStallFactor = 1.5
 	// leaderHeartbeatInterval is the longest pause between appends of a leader. Other hosts
@@ -92,7 +92,7 @@
 	seq              int64            // number of the last entry produced
 	committed        int64            // number of the last entry committed
 	appendLatency    time.Duration    // latency of the newest append
-	provenAt         time.Duration    // when the newest successful append was sent
+	lastProofAt      time.Duration    // when the newest successful append was sent
 	lastAppendAt     time.Duration    // when an entry was last produced
 	uncommittedSince time.Duration    // the oldest uncommitted entry has waited since then or longer
 	commitCallbacks  []commitCallback // callbacks that wait for a commit, by entry number
@@ -191,7 +191,7 @@
 // successor would start their tasks elsewhere. One task would then run twice. The guard
 // holds because the successor waits for leadershipProofTTL and a lease from its own claim on,
 // which is later than the last append of its predecessor.
-func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.provenAt < leadershipProofTTL }
+func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.lastProofAt < leadershipProofTTL }
 
 // logStalled reports whether entries are in flight and the log has committed nothing
 // for too long. More assignments would only queue behind those entries in the present
@@ -234,7 +234,7 @@
 	s.committed = ev.Seq
 	s.appendLatency = s.now - ev.SentAt
 	s.uncommittedSince = s.now
-	s.provenAt = max(s.provenAt, ev.SentAt)
+	s.lastProofAt = max(s.lastProofAt, ev.SentAt)
 	n := 0
 	for n < len(s.commitCallbacks) && s.commitCallbacks[n].seq <= ev.Seq {
 		n++
@@ -251,7 +251,7 @@
 func (s *Scheduler) lead(fence int64) {
 	s.fence = fence
 	s.leadSince = s.now
-	s.provenAt = s.now
+	s.lastProofAt = s.now
 	s.lastAppendAt = s.now
 	for _, w := range s.workerList {
 		s.takeOver(w)
--- a/region/slots.go
+++ b/region/slots.go
@@ -1,7 +1,7 @@
 package region
 
-// slotAllocator allocates a small index for each worker, which lets steps keep what they know
-// of workers in slices. The index of a removed worker is allocated again.
+// slotAllocator allocates a small index for each worker, which lets steps keep what
+// they know of workers in slices. The index of a removed worker is allocated again.
 type slotAllocator struct {
 	next int
 	free []int
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -30,8 +30,8 @@
 }
 
 // A task may run longer than the log retains records. Its job is written again before
-// its records expire, the oldest first, in whatever order the jobs were read. Otherwise
-// the next leader would not know of the job, and its users would lose it.
+// its records expire, the oldest first even if another partition was read before.
+// Otherwise the next leader would not know of the job, and its users would lose it.
 func TestOldJobsAreRewrittenBeforeExpiry(t *testing.T) {
 	s := New(testOptions())
 	now := time.Hour
