--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,9 +1,10 @@
-// Package boottime reads the clock that beliefs expire by.
+// Package boottime reads the clock that leases, tickets and other expiring state
+// are measured with.
 //
-// Go's monotonic clock stands still while a machine is suspended. A lease, a
-// ticket or a proof of freshness read off it would outlive its truth by the
-// length of the suspension, and a woken host would act on it. CLOCK_BOOTTIME
-// goes on counting, and no step of the time of day moves it.
+// Go's monotonic clock stops while a machine is suspended. A lease, a ticket or a
+// proof of freshness measured with it would stay valid too long by the length of
+// the suspension, and a resumed host would act on it. CLOCK_BOOTTIME keeps counting
+// during a suspension and is not affected by changes of the wall clock.
 package boottime
 
 import (
@@ -13,18 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started, suspensions included.
+// Now returns the time since the machine booted, including suspensions.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock exists on every Linux since 2.6.39; without it no belief
-		// could be trusted.
+		// Linux has had this clock since 2.6.39. Without it no expiry could be
+		// checked.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
 }
 
-// Sleep waits and reports whether ctx still goes on.
+// Sleep waits for d or until ctx ends, and reports whether d has passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/model/model.go
+++ b/model/model.go
@@ -1,6 +1,6 @@
-// Package model holds the types that the parts of an entry host pass to one
-// another: what operators configured, which workers there are, and what is
-// said to and by a worker. It decides nothing and does no I/O.
+// Package model defines the types that the packages of an entry host share:
+// the operators' configuration, the workers, and the requests and responses of
+// calls to a worker. It holds no scheduling logic and does no I/O.
 package model
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// MilliPerCore is how many thousandths a core has.
+// MilliPerCore is the number of milli-CPU of one core.
 const MilliPerCore = 1000
 
 // Resources is an amount of each resource, in exact integers.
@@ -20,7 +20,7 @@
 	Accelerators int64
 }
 
-// ResourcesOf converts the form that records use.
+// ResourcesOf converts resources from their record form.
 func ResourcesOf(r *record.Resources) Resources {
 	return Resources{MilliCPU: r.GetMilliCpu(), MemoryMiB: r.GetMemoryMib(), Accelerators: r.GetAccelerators()}
 }
@@ -40,45 +40,45 @@
 	return Resources{r.MilliCPU * n, r.MemoryMiB * n, r.Accelerators * n}
 }
 
-// Fits reports whether r is at most room in every component.
+// Fits reports whether no component of r exceeds that of room.
 func (r Resources) Fits(room Resources) bool {
 	return r.MilliCPU <= room.MilliCPU && r.MemoryMiB <= room.MemoryMiB && r.Accelerators <= room.Accelerators
 }
 
-// Config is one version of what operators configured.
+// Config is one version of the operators' configuration.
 type Config struct {
 	Version    int64
 	Queues     []Queue
 	Services   map[string]Service
 	Workspaces map[string]Workspace
-	KeyOwner   map[string]string // API key to the name of its workspace
+	KeyOwner   map[string]string // from API key to workspace name
 	Limits     Limits
 }
 
-// Queue takes jobs under a host name and a path prefix.
+// Queue accepts the jobs submitted under a host name and a path prefix.
 type Queue struct {
 	Name       string
 	Host       string
 	PathPrefix string
-	Public     bool // no key is asked for
+	Public     bool // accepts requests without an API key
 	Policy     *record.Policy
 }
 
-// Service names a pool of workers.
+// Service is a pool of workers.
 type Service struct {
 	Name             string
-	EnforcesCapacity bool // its workers refuse what does not fit
-	Spare            bool // a pool of switched-off machines
+	EnforcesCapacity bool // its workers refuse a run that exceeds their capacity
+	Spare            bool // its machines are switched off until needed
 }
 
-// Workspace is a customer with a share and an upper limit.
+// Workspace is a customer with a fair-share weight and an upper limit.
 type Workspace struct {
 	Name   string
 	Weight int64
-	Cap    Resources // over all workers; a zero component is no limit
+	Cap    Resources // limit over all workers; a zero component is unlimited
 }
 
-// Limits bound what callers may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -86,8 +86,9 @@
 	IdleTimeout    time.Duration
 }
 
-// Queue returns the queue of a request: the one of that host name with the
-// longest prefix that the path begins with.
+// Queue returns the queue of a request: among the queues with that host name
+// (case-insensitive), the one with the longest path prefix that matches. It
+// reports false if none matches.
 func (c *Config) Queue(host, path string) (*Queue, bool) {
 	var best *Queue
 	for i := range c.Queues {
@@ -102,7 +103,7 @@
 	return best, best != nil
 }
 
-// WorkerEntry is what a worker says of itself in the host list.
+// WorkerEntry is the entry that a worker publishes in the host list.
 type WorkerEntry struct {
 	ID       string
 	Service  string
@@ -111,13 +112,13 @@
 	Draining bool
 	Capacity Resources
 	Labels   []string
-	BornUnix int64 // milliseconds; names the worker's life
+	BornUnix int64 // start time in milliseconds; identifies the worker's incarnation
 }
 
-// Labels of racks have this form; every other label is a kind of worker.
+// rackPrefix and a hyphen mark a rack label; every other label is a kind of worker.
 const rackPrefix = "r"
 
-// Rack returns the worker's rack, or "" if no label looks like one.
+// Rack returns the worker's first rack label, or "" if it has none.
 func (w *WorkerEntry) Rack() string {
 	for _, l := range w.Labels {
 		if strings.HasPrefix(l, rackPrefix) && strings.ContainsRune(l, '-') {
@@ -127,7 +128,7 @@
 	return ""
 }
 
-// HasLabel reports whether the worker carries the label.
+// HasLabel reports whether the worker has the label.
 func (w *WorkerEntry) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
@@ -137,7 +138,7 @@
 	return false
 }
 
-// TaskID names a task; it is comparable.
+// TaskID identifies a task; it is comparable.
 type TaskID struct {
 	Job        string
 	Occurrence int32
@@ -145,77 +146,77 @@
 	Index      int32
 }
 
-// TaskIDOf converts the form that records use.
+// TaskIDOf converts a task ID from its record form.
 func TaskIDOf(t *record.Task) TaskID {
 	return TaskID{t.GetJob(), t.GetOccurrence(), t.GetStep(), t.GetIndex()}
 }
 
-// Record converts to the form that records use.
+// Record converts the task ID to its record form.
 func (t TaskID) Record() *record.Task {
 	return &record.Task{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
 }
 
-// RunID names one run of a task.
+// RunID identifies one run of a task.
 type RunID struct {
 	Task TaskID
 	Run  int32
 }
 
-// StartOrder asks a worker to start a run.
+// StartOrder is the request to start a run on a worker.
 type StartOrder struct {
 	RunID
 	Worker     WorkerRef
 	Spec       string
 	Checkpoint string
 	Ticket     string
-	UntilMs    int64 // end of the lease on the worker's clock
+	UntilMs    int64 // end of the lease on the worker's clock, in milliseconds
 	Fence      int64
 }
 
-// StopOrder asks a worker to stop a run.
+// StopOrder is the request to stop a run on a worker.
 type StopOrder struct {
 	RunID
 	Worker WorkerRef
 	Fence  int64
 }
 
-// HoldOrder renews the leases of all that runs on a worker, forgets ends that
-// are known, and looks at the rest.
+// HoldOrder is the heartbeat request to a worker: it renews the leases of all its
+// runs, acks the ends up to AckedUpTo, and asks for the remaining runs and ends.
 type HoldOrder struct {
 	Worker    WorkerRef
-	UntilMs   int64 // 0 renews nothing
+	UntilMs   int64 // new end of the leases on the worker's clock, in milliseconds; 0 renews none
 	AckedUpTo int64
-	Wait      time.Duration // how long the worker may wait for an end
+	Wait      time.Duration // how long the worker may delay its answer until a run ends
 	Fence     int64
 }
 
-// WorkerRef is one life of a worker.
+// WorkerRef identifies one incarnation of a worker.
 type WorkerRef struct {
 	ID       string
 	Address  string
 	BornUnix int64
 }
 
-// Running is one run that a worker says is running.
+// Running is a run that a worker reports as running.
 type Running struct {
 	RunID
 	Checkpoint string
 	Percent    int
-	// Load is the tail latency in milliseconds of a task that serves, and the
-	// thousandths of a core in use of any other.
+	// Load is the tail latency in milliseconds of a serving task, and the milli-CPU
+	// in use of any other task.
 	Load int64
 }
 
-// End is one run that a worker says has ended.
+// End is a run that a worker reports as ended.
 type End struct {
 	Number int64 // position in the worker's list of ends
 	RunID
 	Outcome    record.Outcome
-	Alone      bool // a gang member that waited in vain for the others
+	Alone      bool // a gang member that timed out waiting for the other members
 	Checkpoint string
 }
 
-// Hold is a worker's answer to a HoldOrder.
+// Hold is a worker's response to a HoldOrder.
 type Hold struct {
 	ClockMs  int64
 	BornUnix int64
@@ -223,7 +224,7 @@
 	Ended    []End
 }
 
-// Ticket lets the tasks of a step start on one worker for a while.
+// Ticket permits the tasks of a step to start on one worker until it expires.
 type Ticket struct {
 	Worker string
 	Ticket string
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides the bounded queue that joins the goroutines of a
-// process. A full ring refuses at once, so that pressure reaches the producer
-// instead of growing in memory.
+// Package ring provides a bounded queue between the goroutines of a process.
+// A full ring rejects items, which applies backpressure to producers instead of
+// letting memory grow.
 package ring
 
 import "context"
@@ -10,13 +10,12 @@
 	items chan T
 }
 
-// New returns a ring that holds at most capacity items.
+// New returns an empty ring that holds at most capacity items.
 func New[T any](capacity int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, capacity)}
 }
 
-// TryPush appends item and reports true, or reports false at once if the ring
-// is full.
+// TryPush appends item without blocking. It reports false if the ring is full.
 func (r *Ring[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
@@ -26,8 +25,8 @@
 	}
 }
 
-// Push appends item, waiting for room until ctx ends. It reports whether the
-// item was taken.
+// Push appends item and blocks while the ring is full. It reports false if ctx
+// ended before the item was appended.
 func (r *Ring[T]) Push(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
@@ -37,11 +36,11 @@
 	}
 }
 
-// Items returns the receive side.
+// Items returns the channel that consumers receive from.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Len returns the number of items waiting.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Cap returns the capacity.
+// Cap returns the maximum number of queued items.
 func (r *Ring[T]) Cap() int { return cap(r.items) }
