--- a/hostrpc/hostrpc.connect.go
+++ b/hostrpc/hostrpc.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: hostrpc/hostrpc.proto
 
-// Package hostrpc is what entry hosts say to one another.
+// Package hostrpc defines the RPCs between entry hosts.
 package hostrpc
 
 import (
@@ -55,15 +55,15 @@
 
 // LeaderClient is a client for the hostrpc.Leader service.
 type LeaderClient interface {
-	// Ping keeps the caller on the leader's list of hosts that may help, and
-	// tells the caller that the leader lives.
+	// Ping is the caller's heartbeat: it keeps the caller on the leader's list of
+	// helper hosts. The answer shows the caller that the leader is alive.
 	Ping(context.Context, *connect.Request[PingRequest]) (*connect.Response[PingResponse], error)
-	// State tells what is known of a job.
+	// State returns the state of a job.
 	State(context.Context, *connect.Request[StateRequest]) (*connect.Response[StateResponse], error)
-	// Pending counts the accepted jobs of a queue of which no task has started.
+	// Pending returns the number of accepted jobs of a queue without a started task.
 	Pending(context.Context, *connect.Request[PendingRequest]) (*connect.Response[PendingResponse], error)
-	// Kept tells of a record of the intake that is in the log, so that the leader
-	// need not wait for its own read of it.
+	// Kept passes on an intake record that is already in the log: the leader need
+	// not wait until it reads the record itself.
 	Kept(context.Context, *connect.Request[KeptRequest]) (*connect.Response[KeptResponse], error)
 }
 
@@ -135,15 +135,15 @@
 
 // LeaderHandler is an implementation of the hostrpc.Leader service.
 type LeaderHandler interface {
-	// Ping keeps the caller on the leader's list of hosts that may help, and
-	// tells the caller that the leader lives.
+	// Ping is the caller's heartbeat: it keeps the caller on the leader's list of
+	// helper hosts. The answer shows the caller that the leader is alive.
 	Ping(context.Context, *connect.Request[PingRequest]) (*connect.Response[PingResponse], error)
-	// State tells what is known of a job.
+	// State returns the state of a job.
 	State(context.Context, *connect.Request[StateRequest]) (*connect.Response[StateResponse], error)
-	// Pending counts the accepted jobs of a queue of which no task has started.
+	// Pending returns the number of accepted jobs of a queue without a started task.
 	Pending(context.Context, *connect.Request[PendingRequest]) (*connect.Response[PendingResponse], error)
-	// Kept tells of a record of the intake that is in the log, so that the leader
-	// need not wait for its own read of it.
+	// Kept passes on an intake record that is already in the log: the leader need
+	// not wait until it reads the record itself.
 	Kept(context.Context, *connect.Request[KeptRequest]) (*connect.Response[KeptResponse], error)
 }
 
@@ -215,15 +215,15 @@
 
 // HelperClient is a client for the hostrpc.Helper service.
 type HelperClient interface {
-	// Advise asks the advice service from this host.
+	// Advise calls the advice service from this host.
 	Advise(context.Context, *connect.Request[AdviseRequest]) (*connect.Response[AdviseResponse], error)
 	// Keep appends a record to the intake for a host that does not reach the log.
-	// A record that comes twice counts once.
+	// It is idempotent: a record that is appended twice counts once.
 	Keep(context.Context, *connect.Request[KeepRequest]) (*connect.Response[KeepResponse], error)
-	// Config tells the newest configuration that this host has confirmed in the
-	// log, for a host that does not reach it.
+	// Config returns the newest configuration that this host has confirmed in the
+	// log, for a host that does not reach the log.
 	Config(context.Context, *connect.Request[ConfigRequest]) (*connect.Response[ConfigResponse], error)
-	// TakeOver asks this host to claim the lead now: the leader is leaving.
+	// TakeOver asks this host to claim leadership immediately: the leader is shutting down.
 	TakeOver(context.Context, *connect.Request[TakeOverRequest]) (*connect.Response[TakeOverResponse], error)
 }
 
@@ -295,15 +295,15 @@
 
 // HelperHandler is an implementation of the hostrpc.Helper service.
 type HelperHandler interface {
-	// Advise asks the advice service from this host.
+	// Advise calls the advice service from this host.
 	Advise(context.Context, *connect.Request[AdviseRequest]) (*connect.Response[AdviseResponse], error)
 	// Keep appends a record to the intake for a host that does not reach the log.
-	// A record that comes twice counts once.
+	// It is idempotent: a record that is appended twice counts once.
 	Keep(context.Context, *connect.Request[KeepRequest]) (*connect.Response[KeepResponse], error)
-	// Config tells the newest configuration that this host has confirmed in the
-	// log, for a host that does not reach it.
+	// Config returns the newest configuration that this host has confirmed in the
+	// log, for a host that does not reach the log.
 	Config(context.Context, *connect.Request[ConfigRequest]) (*connect.Response[ConfigResponse], error)
-	// TakeOver asks this host to claim the lead now: the leader is leaving.
+	// TakeOver asks this host to claim leadership immediately: the leader is shutting down.
 	TakeOver(context.Context, *connect.Request[TakeOverRequest]) (*connect.Response[TakeOverResponse], error)
 }
 
