--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// backlog returns a leading scheduler whose workers are full, with a backlog of
-// steps that all need advice, a fifth of them gangs.
+// backlog returns a leading scheduler with a backlog of steps that all need advice,
+// a fifth of them gangs. used is the milli-CPU in use on each worker.
 func backlog(workers, steps int, used int64) (*Scheduler, time.Duration) {
 	s := New(testOptions())
 	now := time.Hour
@@ -42,9 +42,9 @@
 	return s, now
 }
 
-// BenchmarkPass is one look for room that starts nothing, at today's size and at
-// that of a grown region: with all workers full, and with room everywhere but no
-// valid ticket.
+// BenchmarkPass measures one scheduling pass that starts nothing, at the present size
+// of a region and at larger ones: with all workers full, and with free capacity on all
+// workers but no valid ticket.
 func BenchmarkPass(b *testing.B) {
 	for name, used := range map[string]int64{"full": 31500, "unadvised": 8000} {
 		for _, size := range []struct{ workers, steps int }{{48, 50}, {48, 1000}, {350, 1000}, {800, 2500}} {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -12,9 +12,9 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// world is a small model of what surrounds a scheduler: a log, workers that
-// keep the orders' contract, and an advice service, in virtual time. It checks
-// the promises that hold at every step.
+// world simulates the environment of a scheduler in virtual time: the log, workers
+// that follow the call protocol, and the advice service. It checks the scheduler's
+// safety invariants at every step.
 type world struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -22,14 +22,14 @@
 	events   eventHeap
 	order    int64
 	sched    *Scheduler
-	life     int // which scheduler is in charge; answers to earlier ones are dropped
+	life     int // number of the current scheduler; answers to earlier ones are dropped
 	fence    int64
 	logDown  bool
-	linkLoad float64        // of the leader
-	lasting  bool           // an end as done does not bind: the tasks of this test last
-	adviceN  int            // calls for advice
-	strict   *strict        // the platform at its worst; nil for a milder one
-	advice   *adviceService // nil for one that answers each call at once
+	linkLoad float64        // share of the leader's link in use
+	lasting  bool           // the tasks are long-running: one that is done may be started again
+	adviceN  int            // number of Advise calls
+	strict   *strict        // state of a strict history; nil without the strict faults and checks
+	advice   *adviceService // nil: each call is answered within its expected duration
 
 	intake  []*record.Intake
 	entries []*record.Entry
@@ -40,33 +40,33 @@
 
 	runTime  func(id model.TaskID) time.Duration
 	fails    func(id model.TaskID, run int32) bool
-	good     func(step, worker string) bool
-	lost     func(call string) bool // the answer to a call is lost, though it is carried out
-	late     func(call string) time.Duration
+	good     func(step, worker string) bool  // the advice service issues a ticket
+	lost     func(call string) bool          // the call is carried out, but its answer is lost
+	late     func(call string) time.Duration // extra delay until the call is carried out
 	starts   map[model.TaskID]int
 	doneRuns map[model.TaskID]int32
 	failures map[model.TaskID]int
 	log      []string
 }
 
-// fakeWorker keeps the contract of a worker.
+// fakeWorker simulates a worker that follows the call protocol.
 type fakeWorker struct {
 	entry   model.WorkerEntry
 	fence   int64
 	runs    map[model.TaskID]*fakeRun
-	highest map[model.TaskID]int32 // highest run stopped or ended
+	highest map[model.TaskID]int32 // highest run that was stopped or has ended
 	ends    []model.End
 	nextEnd int64
 	until   int64
-	bound   int // ends at the front of the list that a lapse has made void
+	bound   int // how many ends at the front of ends a lease expiry has made void
 	cut     bool
-	hangs   bool               // tasks begin and never move
-	slow    time.Duration      // how many times as long tasks take; 0 for once
-	bornAt  time.Duration      // when its clock began
-	drift   float64            // how much slower than ours its clock runs
-	down    bool               // between two lives
-	listed  *model.WorkerEntry // what the host list says of it; nil for what it is
-	alone   []model.TaskID     // gang members that waited in vain
+	hangs   bool               // tasks start but make no progress
+	slow    time.Duration      // factor by which tasks take longer; 0 for 1
+	bornAt  time.Duration      // when its clock started
+	drift   float64            // fraction by which its clock is slower than the scheduler's
+	down    bool               // between two incarnations
+	listed  *model.WorkerEntry // its entry in the host list, empty if expired; nil if entry is listed
+	alone   []model.TaskID     // gang members that timed out waiting for the others
 	tickets map[string]time.Duration
 }
 
@@ -74,7 +74,7 @@
 	number int32
 	room   model.Resources
 	began  time.Duration
-	takes  time.Duration // run time; 0 for a gang's member
+	takes  time.Duration // run time; 0 for a gang member
 	saved  string        // newest checkpoint
 }
 
@@ -140,7 +140,7 @@
 	heap.Push(&w.events, timedEvent{w.now + after, w.order, do})
 }
 
-// addWorker adds a worker with some cores.
+// addWorker adds a worker with the given number of cores.
 func (w *world) addWorker(id string, cores int64) *fakeWorker {
 	fw := &fakeWorker{
 		entry: model.WorkerEntry{
@@ -156,7 +156,7 @@
 	return fw
 }
 
-// lead puts a new scheduler in charge, which reads what is in the log.
+// lead replaces the scheduler by a new one, which replays the log and leads.
 func (w *world) lead() {
 	w.life++
 	w.fence++
@@ -176,7 +176,7 @@
 	w.tick(w.life)
 }
 
-// listTo tells a new scheduler what the host list says of a worker.
+// listTo delivers a worker's host list entry to a new scheduler.
 func (w *world) listTo(fw *fakeWorker) {
 	switch {
 	case fw.listed == nil:
@@ -186,7 +186,7 @@
 	}
 }
 
-// stopLeading leaves the region without a scheduler.
+// stopLeading removes the scheduler; the region has no leader until lead is called.
 func (w *world) stopLeading() { w.life++; w.sched = nil }
 
 func (w *world) tick(life int) {
@@ -204,7 +204,7 @@
 	}
 }
 
-// submit keeps a job in the log and tells the scheduler.
+// submit appends a job to the intake and delivers it to the scheduler.
 func (w *world) submit(j *record.Job) { w.submitTo(j, "q") }
 
 func (w *world) submitTo(j *record.Job, queue string) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// answer brings an event to the scheduler that asked, if it is still there.
+// answer delivers an event to the scheduler that made the call, unless it was replaced.
 func (w *world) answer(life int, after time.Duration, ev func() Event) {
 	w.at(after, func() {
 		if life == w.life && w.sched != nil {
@@ -267,7 +267,7 @@
 	w.at(testDelay, w.flushLog)
 }
 
-// unsentAppend is on its way to the log; appends keep their order.
+// unsentAppend is an append that has not reached the log yet. Appends keep their order.
 type unsentAppend struct {
 	life   int
 	append Append
@@ -281,7 +281,7 @@
 	}
 	for _, u := range w.unsent {
 		if u.life != w.life {
-			continue // the log has fenced this scheduler off
+			continue // the log rejects appends of a replaced scheduler
 		}
 		w.entries = append(w.entries, u.append.Entries...)
 		w.answer(u.life, testDelay, func() Event { return Logged{Seq: u.append.Seq, SentAt: u.sent} })
@@ -289,7 +289,7 @@
 	w.unsent = nil
 }
 
-// call carries out an order at a worker, also if its answer is lost.
+// call carries out a call at a worker, even if its answer is lost.
 func (w *world) call(life int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
 	if w.strict != nil {
 		w.strictCall(life, name, after, ref, run, event)
@@ -303,7 +303,7 @@
 	}
 	late := w.late(name)
 	w.at(after+testDelay+late, func() {
-		// An order names its worker by id alone: a late one may reach the next life.
+		// A call addresses its worker by ID alone: a late one may reach the next incarnation.
 		if fw.cut {
 			w.answer(life, timeout, func() Event { return event(CallNoAnswer) })
 			return
@@ -357,7 +357,7 @@
 	})
 }
 
-// run passes time.
+// run advances the virtual time by d and executes the events that are due.
 func (w *world) run(d time.Duration) {
 	until := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= until {
@@ -368,12 +368,12 @@
 	w.now = until
 }
 
-// mustComplete fails unless all jobs are completed.
+// mustComplete fails the test unless all jobs are completed.
 func (w *world) mustComplete(ids ...string) {
 	w.t.Helper()
 	for _, id := range ids {
 		if w.states[id] != StateCompleted {
-			w.fatal("job %s is %v, not completed", id, w.states[id])
+			w.fatal("job %s is %v, want completed", id, w.states[id])
 		}
 	}
 }
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -9,8 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// percent is the part of its run time that a run has had, unless the worker's tasks
-// hang. A gang's moves with time alone, as it begins to work only when all are there.
+// percent returns the progress of a run: 0 on a worker whose tasks hang. A gang member's
+// grows by 1 per 100 ms, since a gang's run time starts only when all members are present.
 func (fw *fakeWorker) percent(now time.Duration, r *fakeRun) int {
 	switch {
 	case fw.hangs:
@@ -21,7 +21,7 @@
 	return int(100 * (now - r.began) / r.takes)
 }
 
-// clock is the worker's steady clock, which starts anew in each life.
+// clock returns the worker's monotonic clock in ms. It restarts with each incarnation.
 func (fw *fakeWorker) clock(now time.Duration) int64 {
 	if fw.bornAt == 0 {
 		return now.Milliseconds() - 1000
@@ -52,11 +52,11 @@
 	return CallOK
 }
 
-// started notes a start and checks the promises that a start can break.
+// started records a start and checks the invariants that a start can violate.
 func (w *world) started(fw *fakeWorker, o model.StartOrder) {
 	j := w.job(o.Task.Job)
 	if j == nil {
-		w.t.Fatalf("a task started that nobody submitted: %v", o.Task)
+		w.t.Fatalf("started a task that was never submitted: %v", o.Task)
 	}
 	for _, name := range w.names {
 		w.lapse(w.workers[name])
@@ -66,11 +66,11 @@
 	}
 	for id, other := range w.workers {
 		if _, alive := other.runs[o.Task]; alive && other.until >= other.clock(w.now) {
-			w.fatal("two runs at once: %v run %d on %s while on %s", o.Task, o.Run, fw.entry.ID, id)
+			w.fatal("two concurrent runs of a task: %v run %d on %s, another on %s", o.Task, o.Run, fw.entry.ID, id)
 		}
 	}
 	if n := w.failures[o.Task]; n >= int(j.Policy.MaxAttempts) && !j.Steps[o.Task.Step].LongRunning {
-		w.fatal("started after %d failures: %v", n, o.Task)
+		w.fatal("started after %d failed attempts: %v", n, o.Task)
 	}
 	step := j.Steps[o.Task.Step]
 	w.canStart(fw, o, j)
@@ -82,7 +82,7 @@
 		used = used.Add(x.room)
 	}
 	if !used.Fits(fw.entry.Capacity) {
-		w.fatal("worker %s over capacity: %v of %v", fw.entry.ID, used, fw.entry.Capacity)
+		w.fatal("worker %s over capacity: uses %v of %v", fw.entry.ID, used, fw.entry.Capacity)
 	}
 	if step.Gang {
 		w.joinGang(fw, o.Task, r, step)
@@ -97,7 +97,7 @@
 	})
 }
 
-// finish ends a run by itself.
+// finish ends a run whose run time is over, as done or failed.
 func (w *world) finish(fw *fakeWorker, id model.TaskID) {
 	number := fw.runs[id].number
 	if w.fails(id, number) {
@@ -109,8 +109,8 @@
 	w.end(fw, id, record.Outcome_OUTCOME_DONE)
 }
 
-// forgetEnd forgets an end that was not taken note of; the end of a gang's
-// member stands for all of them.
+// forgetEnd discards an end that the scheduler has not recorded. The end of one gang
+// member stands for the whole gang.
 func (w *world) forgetEnd(e model.End) {
 	id := e.RunID
 	if e.Outcome == record.Outcome_OUTCOME_FAILED {
@@ -130,12 +130,12 @@
 
 const testGangWait = 3 * time.Second
 
-// joinGang lets a gang work from the moment when all members of a run are
-// there. A member that waits too long ends alone. Members end together: one
-// lists the end for all, or, if it fails, the others are broken.
+// joinGang starts a gang's run time once all members of a run are present. A
+// member that waits longer than testGangWait ends alone. Members end together: one
+// lists the end for all, or, if it fails, the others end as lost.
 func (w *world) joinGang(fw *fakeWorker, id model.TaskID, r *fakeRun, step *record.Step) {
 	w.at(testGangWait, func() {
-		w.lapse(fw) // a member whose lease is over waits no longer
+		w.lapse(fw) // a member whose lease has expired has ended already
 		if fw.runs[id] == r && len(w.members(id, r.number)) < int(step.Count) {
 			fw.alone = append(fw.alone, id)
 			w.end(fw, id, record.Outcome_OUTCOME_LOST)
@@ -168,7 +168,7 @@
 	})
 }
 
-// members returns where the members of a gang's run are alive.
+// members returns the live members of a gang's run with their workers.
 func (w *world) members(id model.TaskID, number int32) map[model.TaskID]*fakeWorker {
 	out := make(map[model.TaskID]*fakeWorker)
 	for _, name := range w.names {
@@ -209,13 +209,13 @@
 	fw.ends = append(fw.ends, model.End{Number: fw.nextEnd, RunID: model.RunID{Task: id, Run: r.number}, Outcome: outcome, Checkpoint: w.save(id, r)})
 }
 
-// lapse ends what runs on a worker whose lease is over.
+// lapse ends all runs on a worker whose lease has expired.
 func (w *world) lapse(fw *fakeWorker) {
 	if fw.until >= fw.clock(w.now) {
 		return
 	}
-	// An end that was not taken note of before the lease was over does not
-	// bind for good.
+	// An end that the scheduler has not recorded when the lease expires is not
+	// final: the scheduler may count the run as lost and start the task again.
 	for ; fw.bound < len(fw.ends); fw.bound++ {
 		w.forgetEnd(fw.ends[fw.bound])
 	}
