--- a/region/history_test.go
+++ b/region/history_test.go
@@ -10,10 +10,10 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Random histories: jobs of all forms arrive while leaders die, workers are cut
-// off, crash and come back, the log goes down, and answers are lost or come
-// late. The world checks at each start that nothing runs twice, runs again when
-// done, exceeds a worker or is tried too often; at the end all must be done.
+// Random histories: jobs of all forms arrive while leaders fail, workers become
+// unreachable or crash and restart, the log is down, and answers are lost or late.
+// At each start, no task may run twice at a time, run again after it was done, exceed
+// its worker's capacity or its maximum attempts. At the end all jobs must have ended.
 func TestRandomHistories(t *testing.T) {
 	const histories = 60
 	for seed := uint64(1); seed <= histories; seed++ {
@@ -24,15 +24,15 @@
 	}
 }
 
-// Guards against a start without an answer that is carried out seconds later in its worker's
-// next life under the same id: the task runs twice, or again after it was done.
+// Guards against a start without an answer that is carried out seconds later by its worker's
+// next incarnation under the same ID: the task runs twice, or again after it was done.
 func TestLateOrderReachesNextLife(t *testing.T) {
 	for _, seed := range slices.Concat(lateOrderSeeds, lateOrderSeedsFar) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomHistory(t, seed) })
 	}
 }
 
-// lateOrderSeeds and lateOrderSeedsFar have been red at some time.
+// lateOrderSeeds and lateOrderSeedsFar are seeds that have failed at some time.
 var (
 	lateOrderSeeds = []uint64{
 		514, 795, 872, 958, 1089, 696, 791, 815, 2753, 3401, 3694,
@@ -44,10 +44,9 @@
 	}
 )
 
-// onceRed are further seeds that once showed a fault: starts under way that
-// reached a worker's next life (98 to 568), and one that was late by seconds and
-// did so (245); the last five showed the start that reaches a next life while nobody
-// leads.
+// onceRed are further seeds that have failed at some time: with starts in flight that
+// reached a worker's next incarnation (98 to 568), one of them seconds late (245), and
+// with a start that reached the next incarnation while there was no leader (the last five).
 var onceRed = []uint64{98, 152, 216, 245, 272, 384, 489, 490, 568, 514, 795, 872, 958, 1089}
 
 func randomHistory(t *testing.T, seed uint64) {
@@ -78,8 +77,8 @@
 	w.mustEnd(jobs)
 }
 
-// mixed gives tasks run times that differ, lets some fail and some answers get lost
-// until all is calm, and lets a third of the workers run no task of a step.
+// mixed gives tasks random run times, fails some tasks and loses some answers until
+// *calm is set, and withholds tickets for each step on a third of the workers.
 func (w *world) mixed(calm *bool) {
 	w.runTime = func(model.TaskID) time.Duration {
 		return 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second)))
@@ -89,7 +88,7 @@
 	w.lost = func(string) bool { return !*calm && w.rng.IntN(40) == 0 }
 }
 
-// mustEnd ends all faults and fails unless every job is over a minute later.
+// mustEnd ends all faults and fails the test unless every job has ended a minute later.
 func (w *world) mustEnd(jobs []string) {
 	w.logDown = false
 	for _, fw := range w.workers {
@@ -101,7 +100,7 @@
 	w.run(60 * time.Second)
 	for _, id := range jobs {
 		if s := w.states[id]; s != StateCompleted && s != StateFailed && s != StateCancelled {
-			w.fatal("job %s is still %v: %s", id, s, describe(w.sched.jobs[id]))
+			w.fatal("job %s is still %v, want it ended: %s", id, s, describe(w.sched.jobs[id]))
 		}
 	}
 }
@@ -122,7 +121,7 @@
 	return j
 }
 
-// disturb causes a fault of each kind once in as many calls.
+// disturb injects a random fault: each kind on average once in the given number of calls.
 func disturb(w *world, calls int, crash func(*world, *fakeWorker)) {
 	fw := w.workers[w.names[w.rng.IntN(len(w.names))]]
 	switch w.rng.IntN(calls) {
@@ -144,16 +143,16 @@
 	}
 }
 
-// crash ends a worker's life; a new one begins at once under the same id. Ends
-// that nobody has taken note of are as if they had never been, and tickets of
-// the earlier life do not hold in the new one.
+// crash ends a worker's incarnation; the next one starts immediately under the same
+// ID. Ends that the scheduler has not recorded are void, and tickets of the earlier
+// incarnation are invalid in the next one.
 func crash(w *world, fw *fakeWorker) {
 	fw.endLife(w)
 	fw.entry.BornUnix++
 	w.tell(WorkerListed{Entry: fw.entry})
 }
 
-// endLife forgets all that the worker knows.
+// endLife clears the worker's state.
 func (fw *fakeWorker) endLife(w *world) {
 	for _, e := range fw.ends[fw.bound:] {
 		w.forgetEnd(e)
@@ -165,7 +164,7 @@
 	fw.ends, fw.nextEnd, fw.until, fw.fence = nil, 0, 0, 0
 }
 
-// describe tells where a job's tasks stand.
+// describe formats the state of a job's tasks.
 func describe(j *job) string {
 	out := ""
 	for _, occ := range j.occs {
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -9,14 +9,14 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// strict is what a world keeps in addition when the platform is at its worst: calls
-// of every kind are carried out 2 to 12 s late, after their caller has given up;
-// a worker's next life begins after a while, with a clock and numbers of ends that
-// start anew and perhaps another size, and the host list tells of it later still.
+// strict is the additional state of a world with the platform's worst permitted faults:
+// calls of every kind are carried out 2 to 12 s late, after their caller has given up;
+// a worker restarts after a delay, with a new clock, new numbers of ends and possibly
+// another capacity, and the host list shows the new incarnation even later.
 type strict struct {
-	anyLife   bool                             // late calls outlive the life that they are for
-	ended     map[model.TaskID]bool            // has ended as done, noted or not
-	cancelled map[string]bool                  // cancellations that a scheduler was told
+	anyLife   bool                             // late calls may reach a later incarnation than the one they were sent to
+	ended     map[model.TaskID]bool            // has ended as done, recorded or not
+	cancelled map[string]bool                  // jobs whose cancellation a scheduler has received
 	saves     map[model.TaskID]map[string]bool // checkpoints that a task has saved
 }
 
@@ -28,18 +28,19 @@
 }
 
 const (
-	// strictCap is the workspace's cap, in thousandths of a core: two thirds of what
-	// the workers have.
+	// strictCap is the workspace's cap in milli-CPU: two thirds of the workers'
+	// capacity.
 	strictCap = 40_000
-	// strictOverage is how far it may be exceeded, beside one task.
+	// strictOverage is the factor by which usage may exceed the cap, in addition to
+	// one task.
 	strictOverage = 1.1
-	// saveEvery is how often a task saves its progress.
+	// saveEvery is the interval between checkpoints of a task.
 	saveEvery = 500 * time.Millisecond
-	// callTimeout is how long a caller waits for a worker.
+	// callTimeout is how long a caller waits for a worker's answer.
 	callTimeout = 400 * time.Millisecond
-	// reportEvery is how often a worker writes its entry.
+	// reportEvery is the interval at which a worker writes its host list entry.
 	reportEvery = 1500 * time.Millisecond
-	// newConnection is one in how many calls a connection is made for.
+	// newConnection is the average number of calls per new connection.
 	newConnection = 8
 )
 
@@ -51,15 +52,15 @@
 	return c
 }
 
-// ordered checks a start as the scheduler sends it.
+// ordered fails the test if a start is sent for a job that the scheduler knows is cancelled.
 func (w *world) ordered(o model.StartOrder) {
 	if w.strict != nil && w.strict.cancelled[o.Task.Job] {
 		w.fatal("started after its job was cancelled: %v run %d", o.Task, o.Run)
 	}
 }
 
-// canStart checks the promises beside those of started: what a step depends on, how
-// many of its tasks a worker may run, the workspace's cap, and the checkpoint.
+// canStart checks the strict invariants of a start, in addition to those of started: the
+// step's dependencies and anti-affinity, the workspace's cap, and the checkpoint.
 func (w *world) canStart(fw *fakeWorker, o model.StartOrder, j *record.Job) {
 	if w.strict == nil {
 		return
@@ -68,7 +69,7 @@
 	for _, before := range step.DependsOn {
 		for i := range j.Steps[before].Count {
 			if !w.strict.ended[model.TaskID{Job: o.Task.Job, Step: before, Index: i}] {
-				w.fatal("started before step %d was done: %v run %d", before, o.Task, o.Run)
+				w.fatal("started before step %d, on which it depends, was done: %v run %d", before, o.Task, o.Run)
 			}
 		}
 	}
@@ -79,17 +80,17 @@
 		}
 	}
 	if step.AntiAffinity > 0 && together > step.AntiAffinity {
-		w.fatal("%d tasks of a step on one worker, at most %d may be: %v run %d", together, step.AntiAffinity, o.Task, o.Run)
+		w.fatal("%d tasks of a step on one worker, want at most %d: %v run %d", together, step.AntiAffinity, o.Task, o.Run)
 	}
 	if running := w.running(); float64(running) > strictCap*strictOverage {
-		w.fatal("%d thousandths of a core run when one more starts, the cap is %d: %v", running, strictCap, o.Task)
+		w.fatal("%d milli-CPU in use when another task starts, the cap is %d: %v", running, strictCap, o.Task)
 	}
 	if o.Checkpoint != "" && !w.strict.saves[o.Task][o.Checkpoint] {
-		w.fatal("started from a checkpoint that is not the task's: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
+		w.fatal("started from a checkpoint of another task: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
 	}
 }
 
-// running is what runs on all workers.
+// running returns the milli-CPU in use on all workers.
 func (w *world) running() int64 {
 	var sum int64
 	for _, name := range w.names {
@@ -102,7 +103,7 @@
 	return sum
 }
 
-// isDone notes an end as done.
+// isDone records that a run has ended as done.
 func (w *world) isDone(id model.TaskID, number int32) {
 	w.doneRuns[id] = number
 	if w.strict != nil {
@@ -110,7 +111,7 @@
 	}
 }
 
-// save returns the newest checkpoint of a run. That of a gang is the same for all.
+// save returns the newest checkpoint of a run. A gang's is the same for all members.
 func (w *world) save(id model.TaskID, r *fakeRun) string {
 	j := w.job(id.Job)
 	if w.strict == nil || !j.Steps[id.Step].Checkpointing {
@@ -126,10 +127,10 @@
 	return r.saved
 }
 
-// strictCall makes a call to a worker. One in time reaches the life that it names alone:
-// it goes out on a connection over which that life has answered. A late one gets no
-// answer in time and is carried out long after: if it ends with its connection, by the
-// same life or not at all, otherwise by whichever life is there then.
+// strictCall makes a call to a worker. A call in time reaches only the incarnation that it
+// names: it uses a connection over which that incarnation has answered. A late call is not
+// answered in time and is carried out long afterwards: by the same incarnation or not at
+// all if it ends with its connection, otherwise by the incarnation that exists then.
 func (w *world) strictCall(life int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
 	tell := func(after time.Duration, e CallError) { w.answer(life, after, func() Event { return event(e) }) }
 	w.at(after, func() {
@@ -167,8 +168,8 @@
 	})
 }
 
-// rebirth ends a worker's life. The next one begins after a while under the same id
-// and address, and the host list tells of it later.
+// rebirth ends a worker's incarnation. The next one starts after a delay under the same
+// ID and address, and the host list shows it later.
 func rebirth(w *world, fw *fakeWorker) {
 	if fw.down {
 		return
@@ -199,8 +200,8 @@
 	})
 }
 
-// list writes a worker's entry into the host list. One that was held up until the next
-// life has written its own is put right with that life's next report.
+// list writes a worker's entry into the host list. A delayed entry of an earlier
+// incarnation is replaced by the next report of the present one.
 func (w *world) list(fw *fakeWorker, entry model.WorkerEntry) {
 	fw.listed = &entry
 	w.tell(WorkerListed{Entry: entry})
@@ -209,9 +210,9 @@
 	}
 }
 
-// Random histories on a platform at its worst. All promises of TestRandomHistories
-// are checked, and beside them what a step depends on, spread, caps, cancellations
-// and checkpoints.
+// Random histories with the platform's worst permitted faults. They check all invariants
+// of TestRandomHistories, and also dependencies, anti-affinity, caps, cancellations and
+// checkpoints.
 func TestStrictHistories(t *testing.T) {
 	const histories = 24
 	for seed := uint64(1); seed <= histories; seed++ {
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against the late start of TestLateOrderReachesNextLife where, beside it, calls are up
-// to 12 s late, a worker's clock starts anew and the host list tells of a life late.
+// Guards against the late start of TestLateOrderReachesNextLife where, in addition, calls are
+// up to 12 s late, a worker's clock restarts and the host list shows an incarnation late.
 func TestStrictLateCallReachesNextLife(t *testing.T) {
 	for _, seed := range lateCallSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { strictHistory(t, seed, anyLife()) })
@@ -239,7 +240,7 @@
 	return s
 }
 
-// lateCallSeeds have been red at some time.
+// lateCallSeeds are seeds that have failed at some time.
 var lateCallSeeds = []uint64{
 	60023, 60071, 60080, 60085, 60093, 60106, 60131, 60173, 60258, 60262, 60286, 60302, 60315, 60339,
 	60379, 60383, 60406, 60407, 60416, 60427, 60428, 60455, 60467, 60476, 60546, 60585, 60591, 60619,
@@ -279,7 +280,7 @@
 	w.mustEnd(jobs)
 	for name, fw := range w.workers {
 		for id := range fw.runs {
-			w.fatal("%v runs on %s when all is over", id, name)
+			w.fatal("%v still runs on %s after all jobs have ended", id, name)
 		}
 	}
 }
@@ -295,7 +296,7 @@
 	return j
 }
 
-// cancelStrict cancels a job; from then on a scheduler that was told may not start it.
+// cancelStrict cancels a job. A scheduler that has received this may not start its tasks.
 func (w *world) cancelStrict(id string) {
 	w.cancel(id)
 	if w.sched != nil {
@@ -303,7 +304,7 @@
 	}
 }
 
-// told notes the cancellations that a new scheduler has read.
+// told records the cancellations that a new scheduler reads from the intake.
 func (s *strict) told(intake []*record.Intake) {
 	for _, r := range intake {
 		if id := r.GetCancelled(); id != "" {
