--- a/region/step_test.go
+++ b/region/step_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Steps of every form run to their end, in order.
+// Steps of every form run to completion, in the order of their dependencies.
 func TestForms(t *testing.T) {
 	cases := map[string]*record.Job{
 		"plain":    oneStep("plain", &record.Step{Count: 5}),
@@ -45,7 +45,7 @@
 	}
 }
 
-// A step with advice starts only where the advice service allows it.
+// A step with advice starts only on workers for which the advice service issues a ticket.
 func TestAdviceIsKept(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 6 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// A task that fails each time is tried as often as the queue allows, then its
-// job is failed and nothing of it runs on.
+// A task that fails on every run is started as often as the queue's maximum attempts
+// allow; then its job fails and none of its tasks runs on.
 func TestAttemptsRunOut(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
@@ -77,14 +77,14 @@
 	w.submit(oneStep("a", &record.Step{Count: 2}))
 	w.run(10 * time.Second)
 	if w.states["a"] != StateFailed {
-		t.Fatalf("job is %v, not failed", w.states["a"])
+		t.Fatalf("job is %v, want failed", w.states["a"])
 	}
 	if n := w.starts[model.TaskID{Job: "a"}]; n != 3 {
 		t.Errorf("started %d times, want 3", n)
 	}
 }
 
-// A workspace never has more running than its cap, however much room there is.
+// A workspace never uses more than its cap, however much capacity is free.
 func TestCapHolds(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 32)
@@ -96,13 +96,13 @@
 	for range 200 {
 		w.run(50 * time.Millisecond)
 		if n := len(w.workers["w1"].runs); n > 3 {
-			t.Fatalf("%d tasks run, the cap allows 3", n)
+			t.Fatalf("%d tasks run, want at most 3, the workspace's cap", n)
 		}
 	}
 	w.mustComplete("a")
 }
 
-// A caller withdraws a job: what runs of it is stopped and nothing more starts.
+// When a caller cancels a job, its running tasks are stopped and no more are started.
 func TestCancelStops(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
@@ -113,16 +113,16 @@
 	w.cancel("a")
 	w.run(time.Second)
 	if n := len(w.workers["w1"].runs); n != 0 {
-		t.Errorf("%d tasks run on", n)
+		t.Errorf("%d tasks still run after the cancellation", n)
 	}
 	if w.states["a"] != StateCancelled {
-		t.Errorf("job is %v, not cancelled", w.states["a"])
+		t.Errorf("job is %v, want cancelled", w.states["a"])
 	}
 }
 
-// Tasks on one worker begin and never move, while it answers every look. The
-// caller's job must not wait for it: its tasks are stopped there and run on
-// the other worker.
+// Tasks on one worker start but make no progress, while the worker answers every
+// heartbeat. Without a check of progress the job would wait for them forever: they are
+// stopped there and run on the other worker.
 func TestHangingWorker(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4).hangs = true
@@ -133,9 +133,9 @@
 	w.mustComplete("a")
 }
 
-// One worker takes six times as long for everything, answers every look and fails
-// nothing. Urgent jobs that come at a steady rate would each be late there; those that
-// crawl go on elsewhere while they can still be of use.
+// One worker runs every task six times slower, answers every heartbeat and fails no
+// task. Urgent jobs arrive at a steady rate and would each be late there; their slow
+// tasks must be moved to other workers before the result is useless.
 func TestCrawlingWorkerIsLeft(t *testing.T) {
 	w := mixedWorld(t, 3)
 	for i := range 40 {
@@ -163,13 +163,13 @@
 	}
 	for id, from := range at {
 		if end, ok := done[id]; !ok || end-from > urgentUseless {
-			t.Errorf("job %s was completed after %v", id, end-from)
+			t.Errorf("job %s completed too late or not at all: after %v", id, end-from)
 		}
 	}
 }
 
 // A task takes three and a half times as long as its queue's tasks usually do, on a
-// sound worker. To stop it would throw its work away for nothing.
+// healthy worker. Stopping it would waste its work without a benefit.
 func TestLongTaskIsNotTakenForCrawling(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
@@ -185,9 +185,8 @@
 	}
 }
 
-// A task takes ten times as long as its queue's tasks, wherever it runs. It may be
-// moved once, on the suspicion that its worker is slow, but must end: moved each time
-// it would never be done.
+// A task takes ten times as long as its queue's tasks on any worker. It may be moved
+// once, since its worker may be slow, but not each time: it would never complete.
 func TestTaskThatReallyTakesLongEnds(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
@@ -203,8 +202,8 @@
 	}
 }
 
-// A task that lasts is started again however it ends, as often as it takes, and
-// ends for good only with its job.
+// A long-running task is restarted after every end, without a limit of attempts, until
+// its job is cancelled.
 func TestLongRunningIsRestarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
@@ -215,23 +214,23 @@
 	w.run(10 * time.Second)
 	id := model.TaskID{Job: "a"}
 	if n := w.starts[id]; n < 10 {
-		t.Errorf("started %d times in 10 s of runs of 0.5 s", n)
+		t.Errorf("started %d times in 10 s, want at least 10 with runs of 0.5 s", n)
 	}
 	if w.states["a"] != StateRunning {
-		t.Errorf("job is %v, not running", w.states["a"])
+		t.Errorf("job is %v, want running", w.states["a"])
 	}
 	w.cancel("a")
 	w.run(2 * time.Second)
 	n := w.starts[id]
 	w.run(2 * time.Second)
 	if w.starts[id] != n {
-		t.Error("started after its job was cancelled")
+		t.Error("task started after its job was cancelled")
 	}
 }
 
-// All workers are full of long batch work when a service is handed in whose
-// users wait for it. It is at work within seconds, at the cost of the batch
-// tasks that lose least, and those are done later.
+// All workers are full of long batch tasks when a long-running service is submitted.
+// It must run within seconds: it preempts the batch tasks that lose least work, and
+// those complete later.
 func TestLastingTaskMakesRoom(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
@@ -256,23 +255,23 @@
 		}
 	}
 	if running != 1 {
-		t.Fatalf("%d tasks of the service run after 3 s", running)
+		t.Fatalf("%d tasks of the service run after 3 s, want 1", running)
 	}
 	w.run(60 * time.Second)
 	w.mustComplete("batch")
 }
 
-// A gang's members wait for one that never comes, and hold their room for nothing. The
-// worker of one member does not answer its starts; they are given up, and a stop goes
-// there, which is not answered either:
+// Gang members wait for a member that never starts, and occupy their capacity in vain.
+// The worker of one member does not answer its starts; the scheduler gives them up and
+// sends a stop, which is not answered either:
 //
-//	31.724 task 1 begins, and waits for the others
+//	31.724 task 1 starts and waits for the others
 //	32.606 run stopped        task 0  its worker did not answer
 //	33.222 stop failed        task 0  no answer (three times)
 //	34.724 task 1 ends alone
 //
-// From the moment at which one member's start is given up the run cannot become whole:
-// the others are to be stopped then, not when that member is settled.
+// Once one member's start is given up, the run cannot become complete: the others must
+// be stopped then, not when that member is settled.
 func TestGangWithAStartGivenUp(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
@@ -289,7 +288,7 @@
 	w.workers["w1"].cut = true
 	w.run(testGangWait + time.Second)
 	if alone := w.workers["w2"].alone; len(alone) != 0 {
-		t.Errorf("%v waited to the end for a member whose start had been given up", alone)
+		t.Errorf("%v waited until the time-out for a member whose start had been given up", alone)
 	}
 	w.workers["w1"].cut = false
 	w.run(15 * time.Second)
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -8,18 +8,17 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// A caller's job of two tasks that start together waits for ever, though the
-// region is empty. Its leader was killed between the record of the assignment
-// and the starts. The next leader finds that one member never arrived, and
-// orders the other's stop, before the host list has told it the worker's
-// address: it must not send that stop into the void for ever.
+// Guards against a gang of two that waits forever in an empty region. The leader was
+// killed after the assignment was recorded and before the starts were sent. The next
+// leader finds that one member never started and stops the other before it has read the
+// worker's address from the host list: it must not send that stop to no address forever.
 func TestInheritedGangThatNeverStarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
 	w.lead()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("gang", &record.Step{Count: 2, Gang: true}))
-	for assigned := false; !assigned; { // the record is in the log, its answer on the way
+	for assigned := false; !assigned; { // the record is in the log, its ack in flight
 		w.run(time.Millisecond)
 		for _, e := range w.entries {
 			assigned = assigned || e.GetAssigned() != nil
@@ -32,8 +31,8 @@
 	w.mustComplete("gang")
 }
 
-// An invoice is billed once although the leader dies while it runs: the next
-// leader finds it on its worker and takes it over.
+// A task that runs when its leader fails runs only once: the next leader finds it on its
+// worker and adopts it.
 func TestRunningTaskIsTakenOver(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
@@ -53,9 +52,9 @@
 	}
 }
 
-// The leader dies and a worker that runs a task is cut off at the same time.
-// The next leader cannot ask whether the task runs. It must not start it
-// elsewhere before the lease is over for certain, and must do so then.
+// The leader fails and a worker that runs a task becomes unreachable at the same time.
+// The next leader cannot ask the worker whether the task runs. It must not start the task
+// on another worker before the lease has certainly expired, and must do so then.
 func TestCutWorkerUnderNewLeader(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
@@ -70,17 +69,17 @@
 	w.lead()
 	w.run(8 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
-		t.Fatalf("%d runs on w2 while the lease of w1 may last", n)
+		t.Fatalf("%d runs on w2 before the lease of w1 has certainly expired, want 0", n)
 	}
 	w.run(6 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 1 {
-		t.Fatalf("%d runs on w2 after the lease of w1 is over, want 1", n)
+		t.Fatalf("%d runs on w2 after the lease of w1 has expired, want 1", n)
 	}
 }
 
-// A worker vanishes for good while it runs a caller's task, and the leader
-// stays. The leader goes on asking it; those renewals must not make its lease
-// seem to last for ever, or the task is never started elsewhere.
+// A worker becomes unreachable and stays so while it runs a task, under the same leader.
+// The leader keeps sending it renewals. These must not extend the lease that the leader
+// assumes, or the task is never started on another worker.
 func TestGoneWorkerFreesItsWork(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
@@ -95,9 +94,9 @@
 	w.mustComplete("a")
 }
 
-// The log cannot be reached from the leader, for longer than a successor waits.
-// The leader must stop renewing leases: on a worker that the successor cannot
-// reach, its renewals would keep a task alive that is started again elsewhere.
+// The leader does not reach the log for longer than a successor waits. It must stop
+// renewing leases: on a worker that the successor cannot reach, renewals would keep a task
+// alive that the successor starts again on another worker.
 func TestNoRenewalWithoutProofOfLead(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
@@ -111,12 +110,12 @@
 	until := w.workers["w1"].until
 	w.run(2 * time.Second)
 	if later := w.workers["w1"].until; later != until {
-		t.Errorf("the lease was renewed by %d ms", later-until)
+		t.Errorf("the lease was extended by %d ms without a proof of leadership", later-until)
 	}
 }
 
-// Guards against a count of waiting jobs that is too low: jobs whose starts never arrived
-// count as begun for the next leader.
+// Guards against a count of waiting jobs that is too low: the next leader would count jobs
+// whose starts never reached their worker as started.
 func TestJobThatNeverBeganWaits(t *testing.T) {
 	for name, advice := range map[string]*record.Advice{"without advice": nil, "with advice": {DecideMs: 5, EachMs: 1, ValidMs: 2000}} {
 		t.Run(name, func(t *testing.T) {
@@ -130,14 +129,14 @@
 			w.submit(j)
 			w.run(100 * time.Millisecond)
 			w.stopLeading()
-			fw.entry.Draining = true // no work goes there any more
+			fw.entry.Draining = true // no new work is placed there
 			w.lead()
 			if w.states["a"] != StateRunning {
-				t.Errorf("the job is %v before its worker has answered, want running", w.states["a"])
+				t.Errorf("job is %v before its worker has answered, want running", w.states["a"])
 			}
 			w.run(100 * time.Millisecond)
 			if w.states["a"] != StateQueued {
-				t.Errorf("the job is %v, want queued", w.states["a"])
+				t.Errorf("job is %v after its worker has answered, want queued", w.states["a"])
 			}
 		})
 	}
