--- a/model/model.go
+++ b/model/model.go
@@ -40,9 +40,9 @@
 	return Resources{r.MilliCPU * n, r.MemoryMiB * n, r.Accelerators * n}
 }
 
-// Fits reports whether no component of r exceeds that of room.
-func (r Resources) Fits(room Resources) bool {
-	return r.MilliCPU <= room.MilliCPU && r.MemoryMiB <= room.MemoryMiB && r.Accelerators <= room.Accelerators
+// Fits reports whether no component of r exceeds that of capacity.
+func (r Resources) Fits(capacity Resources) bool {
+	return r.MilliCPU <= capacity.MilliCPU && r.MemoryMiB <= capacity.MemoryMiB && r.Accelerators <= capacity.Accelerators
 }
 
 // Config is one version of the operators' configuration.
