--- a/region/history_test.go
+++ b/region/history_test.go
@@ -19,7 +19,7 @@
 	for seed := uint64(1); seed <= histories; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomHistory(t, seed) })
 	}
-	for _, seed := range onceRed {
+	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomHistory(t, seed) })
 	}
 }
@@ -44,20 +44,20 @@
 	}
 )
 
-// onceRed are further seeds that have failed at some time: with starts in flight that
+// regressionSeeds are further seeds that have failed at some time: with starts in flight that
 // reached a worker's next incarnation (98 to 568), one of them seconds late (245), and
 // with a start that reached the next incarnation while there was no leader (the last five).
-var onceRed = []uint64{98, 152, 216, 245, 272, 384, 489, 490, 568, 514, 795, 872, 958, 1089}
+var regressionSeeds = []uint64{98, 152, 216, 245, 272, 384, 489, 490, 568, 514, 795, 872, 958, 1089}
 
 func randomHistory(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	for i := range 8 {
 		w.addWorker(fmt.Sprintf("w%d", i), 8)
 	}
-	calm := false
-	w.mixed(&calm)
+	faultFree := false
+	w.randomizeTasks(&faultFree)
 	w.late = func(call string) time.Duration {
-		if calm || call == "hold" || w.rng.IntN(60) != 0 {
+		if faultFree || call == "hold" || w.rng.IntN(60) != 0 {
 			return 0
 		}
 		return time.Second + time.Duration(w.rng.Int64N(int64(4*time.Second)))
@@ -71,21 +71,21 @@
 			w.submit(j)
 			jobs = append(jobs, j.Id)
 		}
-		disturb(w, 60, crash)
+		injectFault(w, 60, crash)
 	}
-	calm = true
+	faultFree = true
 	w.mustEnd(jobs)
 }
 
-// mixed gives tasks random run times, fails some tasks and loses some answers until
-// *calm is set, and withholds tickets for each step on a third of the workers.
-func (w *world) mixed(calm *bool) {
+// randomizeTasks gives tasks random run times, fails some tasks and loses some answers until
+// *faultFree is set, and withholds tickets for each step on a third of the workers.
+func (w *world) randomizeTasks(faultFree *bool) {
 	w.runTime = func(model.TaskID) time.Duration {
 		return 200*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second)))
 	}
-	w.fails = func(model.TaskID, int32) bool { return !*calm && w.rng.IntN(30) == 0 }
-	w.good = func(step, worker string) bool { return (len(step)+int(worker[1]))%3 != 0 }
-	w.lost = func(string) bool { return !*calm && w.rng.IntN(40) == 0 }
+	w.fails = func(model.TaskID, int32) bool { return !*faultFree && w.rng.IntN(30) == 0 }
+	w.issuesTicket = func(step, worker string) bool { return (len(step)+int(worker[1]))%3 != 0 }
+	w.losesAnswer = func(string) bool { return !*faultFree && w.rng.IntN(40) == 0 }
 }
 
 // mustEnd ends all faults and fails the test unless every job has ended a minute later.
@@ -100,7 +100,7 @@
 	w.run(60 * time.Second)
 	for _, id := range jobs {
 		if s := w.states[id]; s != StateCompleted && s != StateFailed && s != StateCancelled {
-			w.fatal("job %s is still %v, want it ended: %s", id, s, describe(w.sched.jobs[id]))
+			w.fatal("job %s is still %v, want it ended: %s", id, s, describeTasks(w.sched.jobs[id]))
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	return j
 }
 
-// disturb injects a random fault: each kind on average once in the given number of calls.
-func disturb(w *world, calls int, crash func(*world, *fakeWorker)) {
+// injectFault injects a random fault: each kind on average once in the given number of calls.
+func injectFault(w *world, calls int, restart func(*world, *fakeWorker)) {
 	fw := w.workers[w.names[w.rng.IntN(len(w.names))]]
 	switch w.rng.IntN(calls) {
 	case 0:
@@ -136,7 +136,7 @@
 		fw.cut = true
 		w.at(time.Duration(w.rng.Int64N(int64(12*time.Second))), func() { fw.cut = false })
 	case 2:
-		crash(w, fw)
+		restart(w, fw)
 	case 3:
 		w.logDown = true
 		w.at(time.Duration(w.rng.Int64N(int64(4*time.Second))), func() { w.logDown = false })
@@ -154,18 +154,18 @@
 
 // endLife clears the worker's state.
 func (fw *fakeWorker) endLife(w *world) {
-	for _, e := range fw.ends[fw.bound:] {
-		w.forgetEnd(e)
+	for _, e := range fw.ends[fw.voidEnds:] {
+		w.discardEnd(e)
 	}
-	fw.bound = 0
+	fw.voidEnds = 0
 	fw.runs = make(map[model.TaskID]*fakeRun)
 	fw.highest = make(map[model.TaskID]int32)
 	fw.tickets = make(map[string]time.Duration)
 	fw.ends, fw.nextEnd, fw.until, fw.fence = nil, 0, 0, 0
 }
 
-// describe formats the state of a job's tasks.
-func describe(j *job) string {
+// describeTasks formats the state of a job's tasks.
+func describeTasks(j *job) string {
 	out := ""
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
--- a/region/step_test.go
+++ b/region/step_test.go
@@ -10,7 +10,7 @@
 )
 
 // Steps of every form run to completion, in the order of their dependencies.
-func TestForms(t *testing.T) {
+func TestAllStepFormsComplete(t *testing.T) {
 	cases := map[string]*record.Job{
 		"plain":    oneStep("plain", &record.Step{Count: 5}),
 		"gang":     oneStep("gang", &record.Step{Count: 4, Gang: true}),
@@ -46,12 +46,12 @@
 }
 
 // A step with advice starts only on workers for which the advice service issues a ticket.
-func TestAdviceIsKept(t *testing.T) {
+func TestStepWithAdviceNeedsTicket(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 6 {
 		w.addWorker(fmt.Sprintf("w%d", i), 4)
 	}
-	w.good = func(_, worker string) bool { return worker == "w3" }
+	w.issuesTicket = func(_, worker string) bool { return worker == "w3" }
 	w.lead()
 	j := oneStep("a", &record.Step{Count: 10})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
@@ -68,7 +68,7 @@
 
 // A task that fails on every run is started as often as the queue's maximum attempts
 // allow; then its job fails and none of its tasks runs on.
-func TestAttemptsRunOut(t *testing.T) {
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.addWorker("w2", 4)
@@ -85,7 +85,7 @@
 }
 
 // A workspace never uses more than its cap, however much capacity is free.
-func TestCapHolds(t *testing.T) {
+func TestWorkspaceCapIsNotExceeded(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 32)
 	w.lead()
@@ -103,7 +103,7 @@
 }
 
 // When a caller cancels a job, its running tasks are stopped and no more are started.
-func TestCancelStops(t *testing.T) {
+func TestCancelStopsRunningTasks(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
@@ -123,7 +123,7 @@
 // Tasks on one worker start but make no progress, while the worker answers every
 // heartbeat. Without a check of progress the job would wait for them forever: they are
 // stopped there and run on the other worker.
-func TestHangingWorker(t *testing.T) {
+func TestHangingTasksAreMoved(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4).hangs = true
 	w.addWorker("w2", 4)
@@ -136,41 +136,41 @@
 // One worker runs every task six times slower, answers every heartbeat and fails no
 // task. Urgent jobs arrive at a steady rate and would each be late there; their slow
 // tasks must be moved to other workers before the result is useless.
-func TestCrawlingWorkerIsLeft(t *testing.T) {
+func TestUrgentTasksAreMovedOffSlowWorker(t *testing.T) {
 	w := mixedWorld(t, 3)
 	for i := range 40 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
 		w.run(50 * time.Millisecond)
 	}
-	var slow *fakeWorker
+	var slowWorker *fakeWorker
 	for _, name := range w.names {
-		if fw := w.workers[name]; slow == nil || len(fw.runs) > len(slow.runs) {
-			slow = fw
+		if fw := w.workers[name]; slowWorker == nil || len(fw.runs) > len(slowWorker.runs) {
+			slowWorker = fw
 		}
 	}
-	slow.slow = 6
-	done, at := make(map[string]time.Duration), make(map[string]time.Duration)
+	slowWorker.slowdown = 6
+	doneAt, submittedAt := make(map[string]time.Duration), make(map[string]time.Duration)
 	for i := range 60 {
 		id := fmt.Sprintf("u%d", 100+i)
 		w.submitTo(urgentJob(id), "urgent")
-		at[id] = w.now
+		submittedAt[id] = w.now
 		w.run(50 * time.Millisecond)
-		noteDone(w, done)
+		noteDone(w, doneAt)
 	}
 	for range 100 {
 		w.run(50 * time.Millisecond)
-		noteDone(w, done)
+		noteDone(w, doneAt)
 	}
-	for id, from := range at {
-		if end, ok := done[id]; !ok || end-from > urgentUseless {
-			t.Errorf("job %s completed too late or not at all: after %v", id, end-from)
+	for id, submitted := range submittedAt {
+		if end, ok := doneAt[id]; !ok || end-submitted > urgentUseless {
+			t.Errorf("job %s completed too late or not at all: after %v", id, end-submitted)
 		}
 	}
 }
 
 // A task takes three and a half times as long as its queue's tasks usually do, on a
 // healthy worker. Stopping it would waste its work without a benefit.
-func TestLongTaskIsNotTakenForCrawling(t *testing.T) {
+func TestLongTaskOnHealthyWorkerIsNotMoved(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -187,7 +187,7 @@
 
 // A task takes ten times as long as its queue's tasks on any worker. It may be moved
 // once, since its worker may be slow, but not each time: it would never complete.
-func TestTaskThatReallyTakesLongEnds(t *testing.T) {
+func TestLongTaskIsMovedAtMostOnce(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -208,7 +208,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.fails = func(_ model.TaskID, run int32) bool { return run%2 == 0 }
-	w.lasting = true
+	w.longRunning = true
 	w.lead()
 	w.submit(oneStep("a", &record.Step{Count: 1, LongRunning: true}))
 	w.run(10 * time.Second)
@@ -231,7 +231,7 @@
 // All workers are full of long batch tasks when a long-running service is submitted.
 // It must run within seconds: it preempts the batch tasks that lose least work, and
 // those complete later.
-func TestLastingTaskMakesRoom(t *testing.T) {
+func TestLongRunningTaskPreemptsBatch(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.addWorker("w2", 4)
@@ -272,7 +272,7 @@
 //
 // Once one member's start is given up, the run cannot become complete: the others must
 // be stopped then, not when that member is settled.
-func TestGangWithAStartGivenUp(t *testing.T) {
+func TestGangIsStoppedWhenOneStartIsGivenUp(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.addWorker("w2", 1)
@@ -287,7 +287,7 @@
 	}
 	w.workers["w1"].cut = true
 	w.run(testGangWait + time.Second)
-	if alone := w.workers["w2"].alone; len(alone) != 0 {
+	if alone := w.workers["w2"].gangTimeouts; len(alone) != 0 {
 		t.Errorf("%v waited until the time-out for a member whose start had been given up", alone)
 	}
 	w.workers["w1"].cut = false
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -14,16 +14,16 @@
 // a worker restarts after a delay, with a new clock, new numbers of ends and possibly
 // another capacity, and the host list shows the new incarnation even later.
 type strict struct {
-	anyLife   bool                             // late calls may reach a later incarnation than the one they were sent to
-	ended     map[model.TaskID]bool            // has ended as done, recorded or not
-	cancelled map[string]bool                  // jobs whose cancellation a scheduler has received
-	saves     map[model.TaskID]map[string]bool // checkpoints that a task has saved
+	lateCallsReachNext bool                             // late calls may reach a later incarnation than the one they were sent to
+	doneTasks          map[model.TaskID]bool            // has ended as done, recorded or not
+	cancelled          map[string]bool                  // jobs whose cancellation a scheduler has received
+	checkpoints        map[model.TaskID]map[string]bool // checkpoints that a task has saved
 }
 
 func newStrict() *strict {
 	return &strict{
-		ended: make(map[model.TaskID]bool), cancelled: make(map[string]bool),
-		saves: make(map[model.TaskID]map[string]bool),
+		doneTasks: make(map[model.TaskID]bool), cancelled: make(map[string]bool),
+		checkpoints: make(map[model.TaskID]map[string]bool),
 	}
 }
 
@@ -31,17 +31,17 @@
 	// strictCap is the workspace's cap in milli-CPU: two thirds of the workers'
 	// capacity.
 	strictCap = 40_000
-	// strictOverage is the factor by which usage may exceed the cap, in addition to
+	// strictCapTolerance is the factor by which usage may exceed the cap, in addition to
 	// one task.
-	strictOverage = 1.1
-	// saveEvery is the interval between checkpoints of a task.
-	saveEvery = 500 * time.Millisecond
+	strictCapTolerance = 1.1
+	// checkpointInterval is the interval between checkpoints of a task.
+	checkpointInterval = 500 * time.Millisecond
 	// callTimeout is how long a caller waits for a worker's answer.
 	callTimeout = 400 * time.Millisecond
-	// reportEvery is the interval at which a worker writes its host list entry.
-	reportEvery = 1500 * time.Millisecond
-	// newConnection is the average number of calls per new connection.
-	newConnection = 8
+	// reportInterval is the interval at which a worker writes its host list entry.
+	reportInterval = 1500 * time.Millisecond
+	// callsPerConnection is the average number of calls per new connection.
+	callsPerConnection = 8
 )
 
 func (w *world) config() *model.Config {
@@ -52,41 +52,42 @@
 	return c
 }
 
-// ordered fails the test if a start is sent for a job that the scheduler knows is cancelled.
-func (w *world) ordered(o model.StartOrder) {
+// checkNotCancelled fails the test if the scheduler sends a start after it has received the
+// job's cancellation.
+func (w *world) checkNotCancelled(o model.StartOrder) {
 	if w.strict != nil && w.strict.cancelled[o.Task.Job] {
 		w.fatal("started after its job was cancelled: %v run %d", o.Task, o.Run)
 	}
 }
 
-// canStart checks the strict invariants of a start, in addition to those of started: the
-// step's dependencies and anti-affinity, the workspace's cap, and the checkpoint.
-func (w *world) canStart(fw *fakeWorker, o model.StartOrder, j *record.Job) {
+// checkStrictStart checks the invariants of a start beyond those of recordStart: the step's
+// dependencies and anti-affinity, the workspace's cap, and the checkpoint.
+func (w *world) checkStrictStart(fw *fakeWorker, o model.StartOrder, j *record.Job) {
 	if w.strict == nil {
 		return
 	}
 	step := j.Steps[o.Task.Step]
-	for _, before := range step.DependsOn {
-		for i := range j.Steps[before].Count {
-			if !w.strict.ended[model.TaskID{Job: o.Task.Job, Step: before, Index: i}] {
-				w.fatal("started before step %d, on which it depends, was done: %v run %d", before, o.Task, o.Run)
+	for _, dependency := range step.DependsOn {
+		for i := range j.Steps[dependency].Count {
+			if !w.strict.doneTasks[model.TaskID{Job: o.Task.Job, Step: dependency, Index: i}] {
+				w.fatal("started before step %d, on which it depends, was done: %v run %d", dependency, o.Task, o.Run)
 			}
 		}
 	}
-	together := int32(1)
+	sameStep := int32(1)
 	for other := range fw.runs {
 		if other != o.Task && other.Job == o.Task.Job && other.Step == o.Task.Step {
-			together++
+			sameStep++
 		}
 	}
-	if step.AntiAffinity > 0 && together > step.AntiAffinity {
-		w.fatal("%d tasks of a step on one worker, want at most %d: %v run %d", together, step.AntiAffinity, o.Task, o.Run)
+	if step.AntiAffinity > 0 && sameStep > step.AntiAffinity {
+		w.fatal("%d tasks of a step on one worker, want at most %d: %v run %d", sameStep, step.AntiAffinity, o.Task, o.Run)
 	}
-	if running := w.running(); float64(running) > strictCap*strictOverage {
+	if running := w.running(); float64(running) > strictCap*strictCapTolerance {
 		w.fatal("%d milli-CPU in use when another task starts, the cap is %d: %v", running, strictCap, o.Task)
 	}
-	if o.Checkpoint != "" && !w.strict.saves[o.Task][o.Checkpoint] {
-		w.fatal("started from a checkpoint of another task: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
+	if o.Checkpoint != "" && !w.strict.checkpoints[o.Task][o.Checkpoint] {
+		w.fatal("started from a checkpoint that the task has not saved: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
 	}
 }
 
@@ -95,19 +96,19 @@
 	var sum int64
 	for _, name := range w.names {
 		fw := w.workers[name]
-		w.lapse(fw)
+		w.expireLease(fw)
 		for _, r := range fw.runs {
-			sum += r.room.MilliCPU
+			sum += r.request.MilliCPU
 		}
 	}
 	return sum
 }
 
-// isDone records that a run has ended as done.
-func (w *world) isDone(id model.TaskID, number int32) {
+// recordDone records that a run has ended as done.
+func (w *world) recordDone(id model.TaskID, number int32) {
 	w.doneRuns[id] = number
 	if w.strict != nil {
-		w.strict.ended[id] = true
+		w.strict.doneTasks[id] = true
 	}
 }
 
@@ -117,86 +118,86 @@
 	if w.strict == nil || !j.Steps[id.Step].Checkpointing {
 		return ""
 	}
-	if n := (w.now - r.began) / saveEvery; n > 0 && !j.Steps[id.Step].Gang {
-		r.saved = fmt.Sprintf("%s.%d.%d run %d save %d", id.Job, id.Step, id.Index, r.number, n)
-		if w.strict.saves[id] == nil {
-			w.strict.saves[id] = make(map[string]bool)
+	if n := (w.now - r.startedAt) / checkpointInterval; n > 0 && !j.Steps[id.Step].Gang {
+		r.checkpoint = fmt.Sprintf("%s.%d.%d run %d save %d", id.Job, id.Step, id.Index, r.number, n)
+		if w.strict.checkpoints[id] == nil {
+			w.strict.checkpoints[id] = make(map[string]bool)
 		}
-		w.strict.saves[id][r.saved] = true
+		w.strict.checkpoints[id][r.checkpoint] = true
 	}
-	return r.saved
+	return r.checkpoint
 }
 
 // strictCall makes a call to a worker. A call in time reaches only the incarnation that it
 // names: it uses a connection over which that incarnation has answered. A late call is not
 // answered in time and is carried out long afterwards: by the same incarnation or not at
 // all if it ends with its connection, otherwise by the incarnation that exists then.
-func (w *world) strictCall(life int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
-	tell := func(after time.Duration, e CallError) { w.answer(life, after, func() Event { return event(e) }) }
+func (w *world) strictCall(generation int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
+	reply := func(after time.Duration, e CallError) { w.answer(generation, after, func() Event { return event(e) }) }
 	w.at(after, func() {
 		fw := w.workers[ref.ID]
 		switch {
 		case fw.cut:
-			tell(callTimeout, CallNoAnswer)
+			reply(callTimeout, CallNoAnswer)
 			return
 		case fw.down:
-			tell(testDelay, CallNotSent)
+			reply(testDelay, CallNotSent)
 			return
 		case fw.entry.BornUnix != ref.BornUnix:
-			tell(2*testDelay, CallOtherLife)
+			reply(2*testDelay, CallOtherLife)
 			return
-		case w.rng.IntN(newConnection) == 0 && w.late("proof") > 0:
-			tell(callTimeout, CallNotSent)
+		case w.rng.IntN(callsPerConnection) == 0 && w.late("proof") > 0:
+			reply(callTimeout, CallNotSent)
 			return
 		}
 		late := w.late(name)
-		lost := late > 0 || w.lost(name)
+		lost := late > 0 || w.losesAnswer(name)
 		if lost {
-			tell(callTimeout, CallNoAnswer)
+			reply(callTimeout, CallNoAnswer)
 		}
 		w.at(testDelay+late, func() {
-			if fw.cut || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.anyLife) {
+			if fw.cut || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.lateCallsReachNext) {
 				if !lost {
-					tell(callTimeout, CallNoAnswer)
+					reply(callTimeout, CallNoAnswer)
 				}
 				return
 			}
 			if err := run(fw); !lost {
-				tell(testDelay, err)
+				reply(testDelay, err)
 			}
 		})
 	})
 }
 
-// rebirth ends a worker's incarnation. The next one starts after a delay under the same
+// crashWithDowntime ends a worker's incarnation. The next one starts after a delay under the same
 // ID and address, and the host list shows it later.
-func rebirth(w *world, fw *fakeWorker) {
+func crashWithDowntime(w *world, fw *fakeWorker) {
 	if fw.down {
 		return
 	}
 	fw.endLife(w)
 	fw.down = true
 	if fw.listed == nil {
-		before := fw.entry
-		fw.listed = &before
+		earlier := fw.entry
+		fw.listed = &earlier
 	}
-	down := time.Duration(w.rng.Int64N(int64(2 * time.Second)))
-	told := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
+	downtime := time.Duration(w.rng.Int64N(int64(2 * time.Second)))
+	listingDelay := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 	if w.rng.IntN(4) == 0 { // long enough for its entry to expire
-		down += 5 * time.Second
+		downtime += 5 * time.Second
 		w.at(4500*time.Millisecond, func() {
 			fw.listed = &model.WorkerEntry{}
 			w.tell(WorkerUnlisted{ID: fw.entry.ID})
 		})
 	}
-	w.at(down, func() {
+	w.at(downtime, func() {
 		fw.down = false
 		fw.bornAt = w.now
 		fw.drift = float64(w.rng.IntN(20)) / 1000
 		fw.entry.BornUnix = w.now.Milliseconds()
 		fw.entry.Capacity.MilliCPU = 6000 + w.rng.Int64N(3)*1000
 		entry := fw.entry
-		w.at(told, func() { w.list(fw, entry) })
+		w.at(listingDelay, func() { w.list(fw, entry) })
 	})
 }
 
@@ -206,7 +207,7 @@
 	fw.listed = &entry
 	w.tell(WorkerListed{Entry: entry})
 	if entry.BornUnix != fw.entry.BornUnix {
-		w.at(reportEvery, func() { w.list(fw, fw.entry) })
+		w.at(reportInterval, func() { w.list(fw, fw.entry) })
 	}
 }
 
@@ -227,16 +228,16 @@
 // up to 12 s late, a worker's clock restarts and the host list shows an incarnation late.
 func TestStrictLateCallReachesNextLife(t *testing.T) {
 	for _, seed := range lateCallSeeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { strictHistory(t, seed, anyLife()) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { strictHistory(t, seed, newStrictLateCalls()) })
 	}
 	for i := range *seedCount {
-		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { strictHistory(t, *firstSeed+i, anyLife()) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { strictHistory(t, *firstSeed+i, newStrictLateCalls()) })
 	}
 }
 
-func anyLife() *strict {
+func newStrictLateCalls() *strict {
 	s := newStrict()
-	s.anyLife = true
+	s.lateCallsReachNext = true
 	return s
 }
 
@@ -254,10 +255,10 @@
 		fw := w.addWorker(fmt.Sprintf("w%d", i), 8)
 		fw.bornAt = w.now - time.Duration(w.rng.Int64N(int64(time.Minute)))
 	}
-	calm := false
-	w.mixed(&calm)
+	faultFree := false
+	w.randomizeTasks(&faultFree)
 	w.late = func(string) time.Duration {
-		if calm || w.rng.IntN(30) != 0 {
+		if faultFree || w.rng.IntN(30) != 0 {
 			return 0
 		}
 		return 2*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
@@ -274,9 +275,9 @@
 		if len(jobs) > 10 && w.rng.IntN(20) == 0 {
 			w.cancelStrict(jobs[len(jobs)-1-w.rng.IntN(10)])
 		}
-		disturb(w, 40, rebirth)
+		injectFault(w, 40, crashWithDowntime)
 	}
-	calm = true
+	faultFree = true
 	w.mustEnd(jobs)
 	for name, fw := range w.workers {
 		for id := range fw.runs {
@@ -304,8 +305,8 @@
 	}
 }
 
-// told records the cancellations that a new scheduler reads from the intake.
-func (s *strict) told(intake []*record.Intake) {
+// noteCancellations records the cancellations that a new scheduler reads from the intake.
+func (s *strict) noteCancellations(intake []*record.Intake) {
 	for _, r := range intake {
 		if id := r.GetCancelled(); id != "" {
 			s.cancelled[id] = true
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -12,7 +12,7 @@
 // killed after the assignment was recorded and before the starts were sent. The next
 // leader finds that one member never started and stops the other before it has read the
 // worker's address from the host list: it must not send that stop to no address forever.
-func TestInheritedGangThatNeverStarted(t *testing.T) {
+func TestInheritedIncompleteGangIsRestarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
 	w.lead()
@@ -33,7 +33,7 @@
 
 // A task that runs when its leader fails runs only once: the next leader finds it on its
 // worker and adopts it.
-func TestRunningTaskIsTakenOver(t *testing.T) {
+func TestNewLeaderAdoptsRunningTask(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
 	w.lead()
@@ -55,7 +55,7 @@
 // The leader fails and a worker that runs a task becomes unreachable at the same time.
 // The next leader cannot ask the worker whether the task runs. It must not start the task
 // on another worker before the lease has certainly expired, and must do so then.
-func TestCutWorkerUnderNewLeader(t *testing.T) {
+func TestNewLeaderWaitsForLeaseOfUnreachableWorker(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.lead()
@@ -80,7 +80,7 @@
 // A worker becomes unreachable and stays so while it runs a task, under the same leader.
 // The leader keeps sending it renewals. These must not extend the lease that the leader
 // assumes, or the task is never started on another worker.
-func TestGoneWorkerFreesItsWork(t *testing.T) {
+func TestTasksOfUnreachableWorkerAreRestarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.runTime = func(model.TaskID) time.Duration { return 3 * time.Second }
@@ -97,7 +97,7 @@
 // The leader does not reach the log for longer than a successor waits. It must stop
 // renewing leases: on a worker that the successor cannot reach, renewals would keep a task
 // alive that the successor starts again on another worker.
-func TestNoRenewalWithoutProofOfLead(t *testing.T) {
+func TestNoLeaseRenewalWithoutProofOfLeadership(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
@@ -116,7 +116,7 @@
 
 // Guards against a count of waiting jobs that is too low: the next leader would count jobs
 // whose starts never reached their worker as started.
-func TestJobThatNeverBeganWaits(t *testing.T) {
+func TestJobWithoutReceivedStartsIsQueued(t *testing.T) {
 	for name, advice := range map[string]*record.Advice{"without advice": nil, "with advice": {DecideMs: 5, EachMs: 1, ValidMs: 2000}} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -16,72 +16,72 @@
 // that follow the call protocol, and the advice service. It checks the scheduler's
 // safety invariants at every step.
 type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      time.Duration
-	events   eventHeap
-	order    int64
-	sched    *Scheduler
-	life     int // number of the current scheduler; answers to earlier ones are dropped
-	fence    int64
-	logDown  bool
-	linkLoad float64        // share of the leader's link in use
-	lasting  bool           // the tasks are long-running: one that is done may be started again
-	adviceN  int            // number of Advise calls
-	strict   *strict        // state of a strict history; nil without the strict faults and checks
-	advice   *adviceService // nil: each call is answered within its expected duration
-
-	intake  []*record.Intake
-	entries []*record.Entry
-	unsent  []unsentAppend
-	workers map[string]*fakeWorker
-	names   []string
-	states  map[string]State
-
-	runTime  func(id model.TaskID) time.Duration
-	fails    func(id model.TaskID, run int32) bool
-	good     func(step, worker string) bool  // the advice service issues a ticket
-	lost     func(call string) bool          // the call is carried out, but its answer is lost
-	late     func(call string) time.Duration // extra delay until the call is carried out
-	starts   map[model.TaskID]int
-	doneRuns map[model.TaskID]int32
-	failures map[model.TaskID]int
-	log      []string
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Duration
+	events      eventHeap
+	lastSeq     int64
+	sched       *Scheduler
+	generation  int // number of the current scheduler; answers to earlier ones are dropped
+	fence       int64
+	logDown     bool
+	linkLoad    float64        // share of the leader's link in use
+	longRunning bool           // the tasks are long-running: one that is done may be started again
+	adviceCalls int            // number of Advise calls
+	strict      *strict        // state of a strict history; nil without the strict faults and checks
+	advice      *adviceService // nil: each call is answered within its expected duration
+
+	intake         []*record.Intake
+	entries        []*record.Entry
+	pendingAppends []pendingAppend
+	workers        map[string]*fakeWorker
+	names          []string
+	states         map[string]State
+
+	runTime      func(id model.TaskID) time.Duration
+	fails        func(id model.TaskID, run int32) bool
+	issuesTicket func(step, worker string) bool  // the advice service issues a ticket
+	losesAnswer  func(call string) bool          // the call is carried out, but its answer is lost
+	late         func(call string) time.Duration // extra delay until the call is carried out
+	starts       map[model.TaskID]int
+	doneRuns     map[model.TaskID]int32
+	failures     map[model.TaskID]int
+	explanations []string
 }
 
 // fakeWorker simulates a worker that follows the call protocol.
 type fakeWorker struct {
-	entry   model.WorkerEntry
-	fence   int64
-	runs    map[model.TaskID]*fakeRun
-	highest map[model.TaskID]int32 // highest run that was stopped or has ended
-	ends    []model.End
-	nextEnd int64
-	until   int64
-	bound   int // how many ends at the front of ends a lease expiry has made void
-	cut     bool
-	hangs   bool               // tasks start but make no progress
-	slow    time.Duration      // factor by which tasks take longer; 0 for 1
-	bornAt  time.Duration      // when its clock started
-	drift   float64            // fraction by which its clock is slower than the scheduler's
-	down    bool               // between two incarnations
-	listed  *model.WorkerEntry // its entry in the host list, empty if expired; nil if entry is listed
-	alone   []model.TaskID     // gang members that timed out waiting for the others
-	tickets map[string]time.Duration
+	entry        model.WorkerEntry
+	fence        int64
+	runs         map[model.TaskID]*fakeRun
+	highest      map[model.TaskID]int32 // highest run that was stopped or has ended
+	ends         []model.End
+	nextEnd      int64
+	until        int64
+	voidEnds     int // how many ends at the front of ends a lease expiry has made void
+	cut          bool
+	hangs        bool               // tasks start but make no progress
+	slowdown     time.Duration      // factor by which tasks take longer; 0 for 1
+	bornAt       time.Duration      // when its clock started
+	drift        float64            // fraction by which its clock is slower than the scheduler's
+	down         bool               // between two incarnations
+	listed       *model.WorkerEntry // its entry in the host list, empty if expired; nil if entry is listed
+	gangTimeouts []model.TaskID     // gang members that timed out waiting for the others
+	tickets      map[string]time.Duration
 }
 
 type fakeRun struct {
-	number int32
-	room   model.Resources
-	began  time.Duration
-	takes  time.Duration // run time; 0 for a gang member
-	saved  string        // newest checkpoint
+	number     int32
+	request    model.Resources
+	startedAt  time.Duration
+	runTime    time.Duration // run time; 0 for a gang member
+	checkpoint string        // newest checkpoint
 }
 
 type timedEvent struct {
-	at    time.Duration
-	order int64
-	do    func()
+	at  time.Duration
+	seq int64
+	do  func()
 }
 
 type eventHeap []timedEvent
@@ -91,7 +91,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].seq < h[j].seq
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
@@ -121,8 +121,8 @@
 	}
 	w.runTime = func(model.TaskID) time.Duration { return 500 * time.Millisecond }
 	w.fails = func(model.TaskID, int32) bool { return false }
-	w.good = func(string, string) bool { return true }
-	w.lost = func(string) bool { return false }
+	w.issuesTicket = func(string, string) bool { return true }
+	w.losesAnswer = func(string) bool { return false }
 	w.late = func(string) time.Duration { return 0 }
 	return w
 }
@@ -136,8 +136,8 @@
 }
 
 func (w *world) at(after time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, timedEvent{w.now + after, w.order, do})
+	w.lastSeq++
+	heap.Push(&w.events, timedEvent{w.now + after, w.lastSeq, do})
 }
 
 // addWorker adds a worker with the given number of cores.
@@ -158,11 +158,11 @@
 
 // lead replaces the scheduler by a new one, which replays the log and leads.
 func (w *world) lead() {
-	w.life++
+	w.generation++
 	w.fence++
 	w.sched = New(testOptions())
 	if w.strict != nil {
-		w.strict.told(w.intake)
+		w.strict.noteCancellations(w.intake)
 	}
 	w.step(Tick{UnixMs: w.now.Milliseconds(), LinkLoad: w.linkLoad})
 	w.step(IntakeRead{Records: w.intake})
@@ -171,13 +171,13 @@
 	w.step(ConfigRead{Config: w.config()})
 	w.step(HostsSeen{Hosts: []string{"", "h2", "h3"}})
 	for _, id := range w.names {
-		w.listTo(w.workers[id])
+		w.deliverListing(w.workers[id])
 	}
-	w.tick(w.life)
+	w.tick(w.generation)
 }
 
-// listTo delivers a worker's host list entry to a new scheduler.
-func (w *world) listTo(fw *fakeWorker) {
+// deliverListing delivers a worker's host list entry to a new scheduler.
+func (w *world) deliverListing(fw *fakeWorker) {
 	switch {
 	case fw.listed == nil:
 		w.step(WorkerListed{Entry: fw.entry})
@@ -187,15 +187,15 @@
 }
 
 // stopLeading removes the scheduler; the region has no leader until lead is called.
-func (w *world) stopLeading() { w.life++; w.sched = nil }
+func (w *world) stopLeading() { w.generation++; w.sched = nil }
 
-func (w *world) tick(life int) {
-	if life != w.life || w.sched == nil {
+func (w *world) tick(generation int) {
+	if generation != w.generation || w.sched == nil {
 		return
 	}
 	w.step(Tick{UnixMs: w.now.Milliseconds(), LinkLoad: w.linkLoad})
 	w.step(Schedule{})
-	w.at(20*time.Millisecond, func() { w.tick(life) })
+	w.at(20*time.Millisecond, func() { w.tick(generation) })
 }
 
 func (w *world) tell(ev Event) {
@@ -224,54 +224,54 @@
 }
 
 func (w *world) step(ev Event) {
-	life := w.life
+	generation := w.generation
 	for _, c := range append([]Command(nil), w.sched.Step(w.now, ev)...) {
-		w.do(life, c)
+		w.execute(generation, c)
 	}
 }
 
 // answer delivers an event to the scheduler that made the call, unless it was replaced.
-func (w *world) answer(life int, after time.Duration, ev func() Event) {
+func (w *world) answer(generation int, after time.Duration, ev func() Event) {
 	w.at(after, func() {
-		if life == w.life && w.sched != nil {
+		if generation == w.generation && w.sched != nil {
 			w.step(ev())
 			w.step(Schedule{})
 		}
 	})
 }
 
-func (w *world) do(life int, c Command) {
+func (w *world) execute(generation int, c Command) {
 	switch c := c.(type) {
 	case Append:
-		w.append(life, c)
+		w.append(generation, c)
 	case Publish:
 		w.states[c.Job] = c.State
 	case Start:
-		w.ordered(c.Order)
-		w.call(life, "start", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Order) },
+		w.checkNotCancelled(c.Order)
+		w.call(generation, "start", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Order) },
 			func(e CallError) Event { return StartAnswered{Order: c.Order, Err: e} })
 	case Stop:
-		w.call(life, "stop", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Order) },
+		w.call(generation, "stop", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Order) },
 			func(e CallError) Event { return StopAnswered{Order: c.Order, Err: e} })
 	case Hold:
-		w.hold(life, c)
+		w.hold(generation, c)
 	case Advise:
-		w.advise(life, c)
+		w.advise(generation, c)
 	case Explain:
-		w.log = append(w.log, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.What, " ", c.Fields))
+		w.explanations = append(w.explanations, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.What, " ", c.Fields))
 	}
 }
 
-func (w *world) append(life int, c Append) {
-	w.unsent = append(w.unsent, unsentAppend{life, c, w.now})
+func (w *world) append(generation int, c Append) {
+	w.pendingAppends = append(w.pendingAppends, pendingAppend{generation, c, w.now})
 	w.at(testDelay, w.flushLog)
 }
 
-// unsentAppend is an append that has not reached the log yet. Appends keep their order.
-type unsentAppend struct {
-	life   int
-	append Append
-	sent   time.Duration
+// pendingAppend is an append that has not reached the log yet. Appends keep their order.
+type pendingAppend struct {
+	generation int
+	append     Append
+	sent       time.Duration
 }
 
 func (w *world) flushLog() {
@@ -279,41 +279,41 @@
 		w.at(50*time.Millisecond, w.flushLog)
 		return
 	}
-	for _, u := range w.unsent {
-		if u.life != w.life {
+	for _, u := range w.pendingAppends {
+		if u.generation != w.generation {
 			continue // the log rejects appends of a replaced scheduler
 		}
 		w.entries = append(w.entries, u.append.Entries...)
-		w.answer(u.life, testDelay, func() Event { return Logged{Seq: u.append.Seq, SentAt: u.sent} })
+		w.answer(u.generation, testDelay, func() Event { return Logged{Seq: u.append.Seq, SentAt: u.sent} })
 	}
-	w.unsent = nil
+	w.pendingAppends = nil
 }
 
 // call carries out a call at a worker, even if its answer is lost.
-func (w *world) call(life int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
+func (w *world) call(generation int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
 	if w.strict != nil {
-		w.strictCall(life, name, after, ref, run, event)
+		w.strictCall(generation, name, after, ref, run, event)
 		return
 	}
 	fw := w.workers[ref.ID]
 	const timeout = 400 * time.Millisecond
 	if fw == nil || fw.cut || fw.entry.Address != ref.Address {
-		w.answer(life, after+timeout, func() Event { return event(CallNoAnswer) })
+		w.answer(generation, after+timeout, func() Event { return event(CallNoAnswer) })
 		return
 	}
 	late := w.late(name)
 	w.at(after+testDelay+late, func() {
 		// A call addresses its worker by ID alone: a late one may reach the next incarnation.
 		if fw.cut {
-			w.answer(life, timeout, func() Event { return event(CallNoAnswer) })
+			w.answer(generation, timeout, func() Event { return event(CallNoAnswer) })
 			return
 		}
 		err := run(fw)
-		if late == 0 && !w.lost(name) {
-			w.answer(life, testDelay, func() Event { return event(err) })
+		if late == 0 && !w.losesAnswer(name) {
+			w.answer(generation, testDelay, func() Event { return event(err) })
 			return
 		}
-		w.answer(life, timeout, func() Event { return event(CallNoAnswer) })
+		w.answer(generation, timeout, func() Event { return event(CallNoAnswer) })
 	})
 }
 
@@ -328,26 +328,26 @@
 
 func (w *world) fatal(format string, args ...any) {
 	w.t.Helper()
-	for _, line := range w.log[max(0, len(w.log)-40):] {
+	for _, line := range w.explanations[max(0, len(w.explanations)-40):] {
 		w.t.Log(line)
 	}
 	w.t.Fatalf("at %v: "+format, append([]any{w.now - time.Hour}, args...)...)
 }
 
-func (w *world) advise(life int, c Advise) {
-	w.adviceN++
+func (w *world) advise(generation int, c Advise) {
+	w.adviceCalls++
 	took, answered := c.Expected+2*testDelay, true
 	if w.advice != nil {
 		took, answered = w.advice.advise(c)
 	}
-	w.answer(life, took, func() Event {
+	w.answer(generation, took, func() Event {
 		ev := Advised{Order: c, At: w.now, Failed: !answered}
 		if ev.Failed {
 			return ev
 		}
 		for _, id := range c.Workers {
 			step := fmt.Sprint(c.Job, c.Occurrence, c.Step)
-			if fw := w.workers[id]; fw != nil && w.good(step, id) {
+			if fw := w.workers[id]; fw != nil && w.issuesTicket(step, id) {
 				ticket := fmt.Sprint(step, id, w.now)
 				fw.tickets[ticket] = w.now + 2*time.Second
 				ev.Tickets = append(ev.Tickets, model.Ticket{Worker: id, Ticket: ticket})
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -15,10 +15,10 @@
 	switch {
 	case fw.hangs:
 		return 0
-	case r.takes == 0:
-		return int((now - r.began) / (100 * time.Millisecond))
+	case r.runTime == 0:
+		return int((now - r.startedAt) / (100 * time.Millisecond))
 	}
-	return int(100 * (now - r.began) / r.takes)
+	return int(100 * (now - r.startedAt) / r.runTime)
 }
 
 // clock returns the worker's monotonic clock in ms. It restarts with each incarnation.
@@ -34,7 +34,7 @@
 		return CallFenced
 	}
 	fw.fence = o.Fence
-	w.lapse(fw)
+	w.expireLease(fw)
 	if o.UntilMs < fw.clock(w.now) {
 		return CallLate
 	}
@@ -48,20 +48,20 @@
 	if until, ok := fw.tickets[o.Ticket]; o.Ticket != "" && (!ok || w.now > until) {
 		return CallNoTicket
 	}
-	w.started(fw, o)
+	w.recordStart(fw, o)
 	return CallOK
 }
 
-// started records a start and checks the invariants that a start can violate.
-func (w *world) started(fw *fakeWorker, o model.StartOrder) {
+// recordStart records a start and checks the invariants that a start can violate.
+func (w *world) recordStart(fw *fakeWorker, o model.StartOrder) {
 	j := w.job(o.Task.Job)
 	if j == nil {
 		w.t.Fatalf("started a task that was never submitted: %v", o.Task)
 	}
 	for _, name := range w.names {
-		w.lapse(w.workers[name])
+		w.expireLease(w.workers[name])
 	}
-	if w.doneRuns[o.Task] > 0 && !w.lasting {
+	if w.doneRuns[o.Task] > 0 && !w.longRunning {
 		w.fatal("started again after it was done: %v run %d", o.Task, o.Run)
 	}
 	for id, other := range w.workers {
@@ -73,13 +73,13 @@
 		w.fatal("started after %d failed attempts: %v", n, o.Task)
 	}
 	step := j.Steps[o.Task.Step]
-	w.canStart(fw, o, j)
-	r := &fakeRun{number: o.Run, room: model.ResourcesOf(step.Request), began: w.now, saved: o.Checkpoint}
+	w.checkStrictStart(fw, o, j)
+	r := &fakeRun{number: o.Run, request: model.ResourcesOf(step.Request), startedAt: w.now, checkpoint: o.Checkpoint}
 	fw.runs[o.Task] = r
 	w.starts[o.Task]++
 	var used model.Resources
 	for _, x := range fw.runs {
-		used = used.Add(x.room)
+		used = used.Add(x.request)
 	}
 	if !used.Fits(fw.entry.Capacity) {
 		w.fatal("worker %s over capacity: uses %v of %v", fw.entry.ID, used, fw.entry.Capacity)
@@ -88,9 +88,9 @@
 		w.joinGang(fw, o.Task, r, step)
 		return
 	}
-	r.takes = w.runTime(o.Task) * max(1, fw.slow)
-	w.at(r.takes, func() {
-		w.lapse(fw)
+	r.runTime = w.runTime(o.Task) * max(1, fw.slowdown)
+	w.at(r.runTime, func() {
+		w.expireLease(fw)
 		if fw.runs[o.Task] == r && !fw.hangs {
 			w.finish(fw, o.Task)
 		}
@@ -105,13 +105,13 @@
 		w.end(fw, id, record.Outcome_OUTCOME_FAILED)
 		return
 	}
-	w.isDone(id, number)
+	w.recordDone(id, number)
 	w.end(fw, id, record.Outcome_OUTCOME_DONE)
 }
 
-// forgetEnd discards an end that the scheduler has not recorded. The end of one gang
+// discardEnd discards an end that the scheduler has not recorded. The end of one gang
 // member stands for the whole gang.
-func (w *world) forgetEnd(e model.End) {
+func (w *world) discardEnd(e model.End) {
 	id := e.RunID
 	if e.Outcome == record.Outcome_OUTCOME_FAILED {
 		w.failures[id.Task]--
@@ -135,9 +135,9 @@
 // lists the end for all, or, if it fails, the others end as lost.
 func (w *world) joinGang(fw *fakeWorker, id model.TaskID, r *fakeRun, step *record.Step) {
 	w.at(testGangWait, func() {
-		w.lapse(fw) // a member whose lease has expired has ended already
+		w.expireLease(fw) // a member whose lease has expired has ended already
 		if fw.runs[id] == r && len(w.members(id, r.number)) < int(step.Count) {
-			fw.alone = append(fw.alone, id)
+			fw.gangTimeouts = append(fw.gangTimeouts, id)
 			w.end(fw, id, record.Outcome_OUTCOME_LOST)
 		}
 	})
@@ -147,17 +147,17 @@
 	w.at(w.runTime(id), func() {
 		members := w.members(id, r.number)
 		if len(members) < int(step.Count) {
-			w.breakRest(id, r.number)
+			w.endRemainingMembers(id, r.number)
 			return
 		}
 		if w.fails(id, r.number) {
 			w.failures[id]++
 			w.end(members[id], id, record.Outcome_OUTCOME_FAILED)
-			w.breakRest(id, r.number)
+			w.endRemainingMembers(id, r.number)
 			return
 		}
 		for m, on := range members {
-			w.isDone(m, r.number)
+			w.recordDone(m, r.number)
 			if m == id {
 				w.end(on, m, record.Outcome_OUTCOME_DONE)
 				continue
@@ -173,7 +173,7 @@
 	out := make(map[model.TaskID]*fakeWorker)
 	for _, name := range w.names {
 		fw := w.workers[name]
-		w.lapse(fw)
+		w.expireLease(fw)
 		for m, r := range fw.runs {
 			if m.Job == id.Job && m.Occurrence == id.Occurrence && m.Step == id.Step && r.number == number {
 				out[m] = fw
@@ -183,7 +183,7 @@
 	return out
 }
 
-func (w *world) breakRest(id model.TaskID, number int32) {
+func (w *world) endRemainingMembers(id model.TaskID, number int32) {
 	for m, fw := range w.members(id, number) {
 		w.end(fw, m, record.Outcome_OUTCOME_LOST)
 	}
@@ -209,15 +209,15 @@
 	fw.ends = append(fw.ends, model.End{Number: fw.nextEnd, RunID: model.RunID{Task: id, Run: r.number}, Outcome: outcome, Checkpoint: w.save(id, r)})
 }
 
-// lapse ends all runs on a worker whose lease has expired.
-func (w *world) lapse(fw *fakeWorker) {
+// expireLease ends all runs on a worker whose lease has expired.
+func (w *world) expireLease(fw *fakeWorker) {
 	if fw.until >= fw.clock(w.now) {
 		return
 	}
 	// An end that the scheduler has not recorded when the lease expires is not
 	// final: the scheduler may count the run as lost and start the task again.
-	for ; fw.bound < len(fw.ends); fw.bound++ {
-		w.forgetEnd(fw.ends[fw.bound])
+	for ; fw.voidEnds < len(fw.ends); fw.voidEnds++ {
+		w.discardEnd(fw.ends[fw.voidEnds])
 	}
 	ids := make([]model.TaskID, 0, len(fw.runs))
 	for id := range fw.runs {
@@ -229,21 +229,21 @@
 	}
 }
 
-func (w *world) hold(life int, c Hold) {
+func (w *world) hold(generation int, c Hold) {
 	sent := w.now + c.After
 	var got model.Hold
-	w.call(life, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
+	w.call(generation, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
 		if c.Order.Fence < fw.fence {
 			return CallFenced
 		}
 		fw.fence = c.Order.Fence
-		w.lapse(fw)
+		w.expireLease(fw)
 		if c.Order.UntilMs > 0 {
 			fw.until = max(fw.until, min(c.Order.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
 		}
 		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Order.AckedUpTo {
 			fw.ends = fw.ends[1:]
-			fw.bound = max(0, fw.bound-1)
+			fw.voidEnds = max(0, fw.voidEnds-1)
 		}
 		got = model.Hold{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
 		for id, r := range fw.runs {
