--- a/model/model.go
+++ b/model/model.go
@@ -162,8 +162,8 @@
 	Run  int32
 }
 
-// StartOrder is the request to start a run on a worker.
-type StartOrder struct {
+// StartRequest is the request to start a run on a worker.
+type StartRequest struct {
 	RunID
 	Worker     WorkerRef
 	Spec       string
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -216,7 +216,7 @@
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
 	r := w.sched.find(id).run
-	w.tell(StartAnswered{Order: model.StartOrder{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
+	w.tell(StartAnswered{Order: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want that of the second start", n)
--- a/region/event.go
+++ b/region/event.go
@@ -51,7 +51,7 @@
 
 	// StartAnswered is the answer to a Start.
 	StartAnswered struct {
-		Order  model.StartOrder
+		Order  model.StartRequest
 		SentAt time.Duration
 		Err    CallError
 	}
@@ -131,7 +131,7 @@
 
 	// Start, Stop and Hold are calls to a worker.
 	Start struct {
-		Order model.StartOrder
+		Order model.StartRequest
 		After time.Duration // wait before the call
 	}
 	// Stop asks a worker to stop a run.
--- a/region/run.go
+++ b/region/run.go
@@ -165,7 +165,7 @@
 	r.tries++
 	r.calls.sent(s.now + after)
 	r.worker.orders.sent(r.id(), s.now+after)
-	s.emit(Start{After: after, Order: model.StartOrder{
+	s.emit(Start{After: after, Order: model.StartRequest{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
 		Ticket: r.ticket, UntilMs: r.leaseTo, Fence: s.fenceOf(r.worker),
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -54,7 +54,7 @@
 
 // checkNotCancelled fails the test if the scheduler sends a start after it has received the
 // job's cancellation.
-func (w *world) checkNotCancelled(o model.StartOrder) {
+func (w *world) checkNotCancelled(o model.StartRequest) {
 	if w.strict != nil && w.strict.cancelled[o.Task.Job] {
 		w.fatal("started after its job was cancelled: %v run %d", o.Task, o.Run)
 	}
@@ -62,7 +62,7 @@
 
 // checkStrictStart checks the invariants of a start beyond those of recordStart: the step's
 // dependencies and anti-affinity, the workspace's cap, and the checkpoint.
-func (w *world) checkStrictStart(fw *fakeWorker, o model.StartOrder, j *record.Job) {
+func (w *world) checkStrictStart(fw *fakeWorker, o model.StartRequest, j *record.Job) {
 	if w.strict == nil {
 		return
 	}
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -29,7 +29,7 @@
 	return int64(float64((now - fw.bornAt).Milliseconds()) * (1 - fw.drift))
 }
 
-func (w *world) start(fw *fakeWorker, o model.StartOrder) CallError {
+func (w *world) start(fw *fakeWorker, o model.StartRequest) CallError {
 	if o.Fence < fw.fence {
 		return CallFenced
 	}
@@ -53,7 +53,7 @@
 }
 
 // recordStart records a start and checks the invariants that a start can violate.
-func (w *world) recordStart(fw *fakeWorker, o model.StartOrder) {
+func (w *world) recordStart(fw *fakeWorker, o model.StartRequest) {
 	j := w.job(o.Task.Job)
 	if j == nil {
 		w.t.Fatalf("started a task that was never submitted: %v", o.Task)
