--- a/model/model.go
+++ b/model/model.go
@@ -173,8 +173,8 @@
 	Fence      int64
 }
 
-// StopOrder is the request to stop a run on a worker.
-type StopOrder struct {
+// StopRequest is the request to stop a run on a worker.
+type StopRequest struct {
 	RunID
 	Worker WorkerRef
 	Fence  int64
--- a/region/event.go
+++ b/region/event.go
@@ -58,7 +58,7 @@
 
 	// StopAnswered is the answer to a Stop.
 	StopAnswered struct {
-		Order  model.StopOrder
+		Order  model.StopRequest
 		SentAt time.Duration
 		Err    CallError
 	}
@@ -136,7 +136,7 @@
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
-		Order model.StopOrder
+		Order model.StopRequest
 		After time.Duration
 	}
 	// Hold renews leases and looks.
--- a/region/look.go
+++ b/region/look.go
@@ -192,7 +192,7 @@
 // or of a job that is over.
 func (s *Scheduler) stopStray(w *worker, id model.RunID) {
 	s.explain(id.Task.Job, "stray run stopped", Field{"worker", w.entry.ID}, Field{"run", id.Run}, Field{"step", id.Task.Step}, Field{"task", id.Task.Index})
-	s.emit(Stop{Order: model.StopOrder{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
+	s.emit(Stop{Order: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
 }
 
 // clearUnlisted settles runs that a look did not list although it was sent
--- a/region/run.go
+++ b/region/run.go
@@ -288,7 +288,7 @@
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
 	r.worker.orders.sent(r.id(), s.now+after)
-	s.emit(Stop{After: after, Order: model.StopOrder{
+	s.emit(Stop{After: after, Order: model.StopRequest{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
 }
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-func (w *world) stop(fw *fakeWorker, o model.StopOrder) CallError {
+func (w *world) stop(fw *fakeWorker, o model.StopRequest) CallError {
 	if o.Fence < fw.fence {
 		return CallFenced
 	}
