--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -17,7 +17,7 @@
 		for range 20 * behindMemory {
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
 		}
-		order := model.HoldOrder{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
+		order := model.HoldRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
 		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.Hold{ClockMs: 1, BornUnix: 1}}) {
 			if h, ok := c.(Hold); ok {
 				return h.After
--- a/region/event.go
+++ b/region/event.go
@@ -43,7 +43,7 @@
 
 	// Held is the answer to a Hold, which was sent at SentAt.
 	Held struct {
-		Order  model.HoldOrder
+		Order  model.HoldRequest
 		SentAt time.Duration
 		Hold   model.Hold
 		Err    CallError
@@ -141,7 +141,7 @@
 	}
 	// Hold renews leases and looks.
 	Hold struct {
-		Order model.HoldOrder
+		Order model.HoldRequest
 		After time.Duration
 	}
 
--- a/region/look.go
+++ b/region/look.go
@@ -47,7 +47,7 @@
 	if w.looking || !s.leading() || w.entry.Address == "" {
 		return
 	}
-	order := model.HoldOrder{Worker: w.ref(), Fence: s.fenceOf(w)}
+	order := model.HoldRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
 	// A worker that does not answer gets no longer lease until it does: each
 	// renewal may be carried out late, and what runs on a worker that is gone
 	// for good could never be taken for dead. A look that renews nothing and takes
