--- a/model/model.go
+++ b/model/model.go
@@ -216,8 +216,8 @@
 	Checkpoint string
 }
 
-// Hold is a worker's response to a HoldOrder.
-type Hold struct {
+// HoldResponse is a worker's response to a HoldOrder.
+type HoldResponse struct {
 	ClockMs  int64
 	BornUnix int64
 	Running  []Running
--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -18,7 +18,7 @@
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
 		}
 		order := model.HoldRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
-		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.Hold{ClockMs: 1, BornUnix: 1}}) {
+		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.HoldResponse{ClockMs: 1, BornUnix: 1}}) {
 			if h, ok := c.(Hold); ok {
 				return h.After
 			}
--- a/region/event.go
+++ b/region/event.go
@@ -45,7 +45,7 @@
 	Held struct {
 		Order  model.HoldRequest
 		SentAt time.Duration
-		Hold   model.Hold
+		Hold   model.HoldResponse
 		Err    CallError
 	}
 
