--- a/model/model.go
+++ b/model/model.go
@@ -211,9 +211,9 @@
 type End struct {
 	Number int64 // position in the worker's list of ends
 	RunID
-	Outcome    record.Outcome
-	Alone      bool // a gang member that timed out waiting for the other members
-	Checkpoint string
+	Outcome      record.Outcome
+	GangTimedOut bool // a gang member that timed out waiting for the other members
+	Checkpoint   string
 }
 
 // HoldResponse is a worker's response to a HoldOrder.
--- a/region/end.go
+++ b/region/end.go
@@ -77,7 +77,7 @@
 		s.gangDone(t, e.Run)
 		return
 	}
-	if e.Alone {
+	if e.GangTimedOut {
 		s.explain(e.Task.Job, "gang member ended alone", Field{"step", e.Task.Step}, Field{"task", e.Task.Index}, Field{"run", e.Run})
 	}
 	s.breakGang(t, e.Run)
