--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -71,7 +71,7 @@
 			for i := range 16 {
 				w.addWorker(fmt.Sprintf("w%02d", i), 64)
 			}
-			w.lead()
+			w.startLeader()
 			a := w.newAdviceService("", "h1", "h2", "h3", "h4", "h5")
 			a.flaps = flaps
 			for _, h := range a.hosts {
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -17,7 +17,7 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	first := true
 	w.late = func(call string) time.Duration {
@@ -60,7 +60,7 @@
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustRunOnce("a")
 }
@@ -71,7 +71,7 @@
 	w, fw := lateStart(t, 4*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
 	w.run(500 * time.Millisecond)
-	w.lead()
+	w.startLeader()
 	w.run(500 * time.Millisecond) // w1 has answered and lists nothing
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
@@ -83,7 +83,7 @@
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustComplete("a")
 }
@@ -115,7 +115,7 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.late = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
 	j := oneStep("a", &record.Step{Count: 1})
@@ -156,7 +156,7 @@
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(time.Second)
 	for id, r := range fw.runs {
 		if r.number == 1 {
@@ -175,13 +175,13 @@
 	w.run(underWay)
 	crash(w, fw)
 	w.run(2 * time.Second)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
 	w.stopLeading()
-	w.lead()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustRunOnce("a")
 }
@@ -191,7 +191,7 @@
 func TestTokenRisesAfterAWorkerWasForgotten(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	before := fw.fence
 	w.tell(WorkerUnlisted{ID: "w1"})
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -62,7 +62,7 @@
 		}
 		return time.Second + time.Duration(w.rng.Int64N(int64(4*time.Second)))
 	}
-	w.lead()
+	w.startLeader()
 	var jobs []string
 	for i := range 400 {
 		w.run(50 * time.Millisecond)
@@ -95,7 +95,7 @@
 		fw.cut = false
 	}
 	if w.sched == nil {
-		w.lead()
+		w.startLeader()
 	}
 	w.run(60 * time.Second)
 	for _, id := range jobs {
@@ -129,7 +129,7 @@
 		w.stopLeading()
 		w.at(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
 			if w.sched == nil {
-				w.lead()
+				w.startLeader()
 			}
 		})
 	case 1:
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -26,7 +26,7 @@
 	for i := range 8 {
 		w.addWorker(fmt.Sprintf("w%d", i), 64)
 	}
-	w.lead()
+	w.startLeader()
 	c := testConfig()
 	c.Queues = []model.Queue{queueWithAdvice("short", 10), queueWithAdvice("middle", 240), queueWithAdvice("long", 1300)}
 	w.step(ConfigRead{Config: c})
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -43,7 +43,7 @@
 		}
 		return 2700 * time.Millisecond
 	}
-	w.lead()
+	w.startLeader()
 	w.run(2 * testLease)
 	return w
 }
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -14,7 +14,7 @@
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
 	earlier := fw.entry
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	crash(w, fw)
 	w.run(100 * time.Millisecond)
@@ -50,7 +50,7 @@
 	earlier := lateEntry(w)
 	w.stopLeading()
 	w.workers["w1"].listed = &earlier
-	w.lead()
+	w.startLeader()
 	w.run(2 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the task runs on w1", n)
@@ -68,7 +68,7 @@
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 1)
 	fw.entry.BornUnix = 1000
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	fw.endLife(w)
 	fw.entry.BornUnix = 900
@@ -87,13 +87,13 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
 	w.stopLeading()
 	crash(w, fw)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Errorf("%d runs in the next life, want 1", n)
--- a/region/pacer_test.go
+++ b/region/pacer_test.go
@@ -15,7 +15,7 @@
 	for i := range 20 {
 		w.addWorker(fmt.Sprintf("w%d", i), 16)
 	}
-	w.lead()
+	w.startLeader()
 	w.sched.opts.StartsPerS = perS
 	w.run(time.Second)
 	for i := range 40 {
--- a/region/step_test.go
+++ b/region/step_test.go
@@ -37,7 +37,7 @@
 					fw.entry.Labels = []string{"b", "r2-1"}
 				}
 			}
-			w.lead()
+			w.startLeader()
 			w.submit(job)
 			w.run(8 * time.Second)
 			w.mustComplete(job.Id)
@@ -52,7 +52,7 @@
 		w.addWorker(fmt.Sprintf("w%d", i), 4)
 	}
 	w.issuesTicket = func(_, worker string) bool { return worker == "w3" }
-	w.lead()
+	w.startLeader()
 	j := oneStep("a", &record.Step{Count: 10})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
 		Advice: &record.Advice{DecideMs: 50, EachMs: 1, ValidMs: 2000}}
@@ -73,7 +73,7 @@
 	w.addWorker("w1", 4)
 	w.addWorker("w2", 4)
 	w.fails = func(id model.TaskID, _ int32) bool { return id.Index == 0 }
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 2}))
 	w.run(10 * time.Second)
 	if w.states["a"] != StateFailed {
@@ -88,7 +88,7 @@
 func TestWorkspaceCapIsNotExceeded(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 32)
-	w.lead()
+	w.startLeader()
 	config := testConfig()
 	config.Workspaces["ws"] = model.Workspace{Name: "ws", Cap: model.Resources{MilliCPU: 3000}}
 	w.step(ConfigRead{Config: config})
@@ -107,7 +107,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 8}))
 	w.run(time.Second)
 	w.cancel("a")
@@ -127,7 +127,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4).hangs = true
 	w.addWorker("w2", 4)
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 6}))
 	w.run(8 * time.Second)
 	w.mustComplete("a")
@@ -209,7 +209,7 @@
 	w.addWorker("w1", 4)
 	w.fails = func(_ model.TaskID, run int32) bool { return run%2 == 0 }
 	w.longRunning = true
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 1, LongRunning: true}))
 	w.run(10 * time.Second)
 	id := model.TaskID{Job: "a"}
@@ -241,7 +241,7 @@
 		}
 		return 20 * time.Second
 	}
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("batch", &record.Step{Count: 8}))
 	w.run(2 * time.Second)
 	w.submit(oneStep("service", &record.Step{Count: 1, LongRunning: true, Request: &record.Resources{MilliCpu: 2000, MemoryMib: 100}}))
@@ -276,7 +276,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.addWorker("w2", 1)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("gang", &record.Step{Count: 2, Gang: true}))
 	for assigned := false; !assigned; {
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -263,7 +263,7 @@
 		}
 		return 2*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
 	}
-	w.lead()
+	w.startLeader()
 	var jobs []string
 	for i := range 400 {
 		w.run(50 * time.Millisecond)
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -15,7 +15,7 @@
 func TestInheritedIncompleteGangIsRestarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("gang", &record.Step{Count: 2, Gang: true}))
 	for assigned := false; !assigned; { // the record is in the log, its ack in flight
@@ -26,7 +26,7 @@
 	}
 	w.stopLeading()
 	w.run(time.Second)
-	w.lead()
+	w.startLeader()
 	w.run(10 * time.Second)
 	w.mustComplete("gang")
 }
@@ -36,13 +36,13 @@
 func TestNewLeaderAdoptsRunningTask(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 3}))
 	w.run(200 * time.Millisecond)
 	w.stopLeading()
 	w.run(100 * time.Millisecond)
-	w.lead()
+	w.startLeader()
 	w.run(3 * time.Second)
 	w.mustComplete("a")
 	for id, n := range w.starts {
@@ -58,7 +58,7 @@
 func TestNewLeaderWaitsForLeaseOfUnreachableWorker(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.runTime = func(model.TaskID) time.Duration { return 30 * time.Second }
 	w.submit(oneStep("a", &record.Step{Count: 1}))
@@ -66,7 +66,7 @@
 	w.stopLeading()
 	w.workers["w1"].cut = true
 	w.addWorker("w2", 1)
-	w.lead()
+	w.startLeader()
 	w.run(8 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Fatalf("%d runs on w2 before the lease of w1 has certainly expired, want 0", n)
@@ -84,7 +84,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.runTime = func(model.TaskID) time.Duration { return 3 * time.Second }
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
@@ -101,7 +101,7 @@
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
 			fw := w.addWorker("w1", 8)
-			w.lead()
+			w.startLeader()
 			w.run(100 * time.Millisecond)
 			w.late = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
 			j := oneStep("a", &record.Step{Count: 1})
@@ -130,7 +130,7 @@
 			w.run(100 * time.Millisecond)
 			w.stopLeading()
 			fw.entry.Draining = true // no new work is placed there
-			w.lead()
+			w.startLeader()
 			if w.states["a"] != StateRunning {
 				t.Errorf("job is %v before its worker has answered, want running", w.states["a"])
 			}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -156,8 +156,8 @@
 	return fw
 }
 
-// lead replaces the scheduler by a new one, which replays the log and leads.
-func (w *world) lead() {
+// startLeader replaces the scheduler by a new one, which replays the log and leads.
+func (w *world) startLeader() {
 	w.generation++
 	w.fence++
 	w.sched = New(testOptions())
