--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -53,7 +53,7 @@
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(time.Second)
@@ -69,14 +69,14 @@
 // calls have come to.
 func TestInheritedStartInTheNextLife(t *testing.T) {
 	w, fw := lateStart(t, 4*time.Second, &record.Step{Count: 1})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(500 * time.Millisecond)
 	w.startLeader()
 	w.run(500 * time.Millisecond) // w1 has answered and lists nothing
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(4 * time.Second)
@@ -149,7 +149,7 @@
 // the others have been stopped.
 func TestLateMemberOfAGangIsStopped(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(2 * time.Second)
@@ -171,7 +171,7 @@
 // worker's next life, and a new leader takes the run for over with the earlier one.
 func TestLateRunIsTakenOver(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(2 * time.Second)
@@ -180,7 +180,7 @@
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustRunOnce("a")
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -126,7 +126,7 @@
 	fw := w.workers[w.names[w.rng.IntN(len(w.names))]]
 	switch w.rng.IntN(calls) {
 	case 0:
-		w.stopLeading()
+		w.stopLeader()
 		w.at(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
 			if w.sched == nil {
 				w.startLeader()
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -48,7 +48,7 @@
 func TestNewLeaderFindsAnEarlierLifeListed(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
-	w.stopLeading()
+	w.stopLeader()
 	w.workers["w1"].listed = &earlier
 	w.startLeader()
 	w.run(2 * time.Second)
@@ -91,7 +91,7 @@
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
-	w.stopLeading()
+	w.stopLeader()
 	crash(w, fw)
 	w.startLeader()
 	w.run(100 * time.Millisecond)
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -24,7 +24,7 @@
 			assigned = assigned || e.GetAssigned() != nil
 		}
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.run(time.Second)
 	w.startLeader()
 	w.run(10 * time.Second)
@@ -40,7 +40,7 @@
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 3}))
 	w.run(200 * time.Millisecond)
-	w.stopLeading()
+	w.stopLeader()
 	w.run(100 * time.Millisecond)
 	w.startLeader()
 	w.run(3 * time.Second)
@@ -63,7 +63,7 @@
 	w.runTime = func(model.TaskID) time.Duration { return 30 * time.Second }
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
-	w.stopLeading()
+	w.stopLeader()
 	w.workers["w1"].cut = true
 	w.addWorker("w2", 1)
 	w.startLeader()
@@ -128,7 +128,7 @@
 			j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000, Advice: advice}
 			w.submit(j)
 			w.run(100 * time.Millisecond)
-			w.stopLeading()
+			w.stopLeader()
 			fw.entry.Draining = true // no new work is placed there
 			w.startLeader()
 			if w.states["a"] != StateRunning {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// stopLeading removes the scheduler; the region has no leader until lead is called.
-func (w *world) stopLeading() { w.generation++; w.sched = nil }
+// stopLeader removes the scheduler; the region has no leader until lead is called.
+func (w *world) stopLeader() { w.generation++; w.sched = nil }
 
 func (w *world) tick(generation int) {
 	if generation != w.generation || w.sched == nil {
