--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -138,7 +138,7 @@
 	next := fw.entry
 	next.ID, next.BornUnix = "w3", 2
 	fw.cut = true
-	w.tell(WorkerListed{Entry: next})
+	w.deliver(WorkerListed{Entry: next})
 	w.run(200 * time.Millisecond)
 	if n := len(w.workers["w2"].runs); n != 1 {
 		t.Errorf("%d runs on w2, want 1", n)
@@ -194,7 +194,7 @@
 	w.startLeader()
 	w.run(100 * time.Millisecond)
 	before := fw.fence
-	w.tell(WorkerUnlisted{ID: "w1"})
+	w.deliver(WorkerUnlisted{ID: "w1"})
 	fw.endLife(w)
 	fw.cut = true
 	w.run(5 * time.Second)
@@ -203,7 +203,7 @@
 	}
 	fw.cut = false
 	fw.entry.BornUnix++
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(100 * time.Millisecond)
 	if fw.fence <= before {
 		t.Errorf("token %d in the new life, %d in the one before", fw.fence, before)
@@ -216,7 +216,7 @@
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
 	r := w.sched.find(id).run
-	w.tell(StartAnswered{Order: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
+	w.deliver(StartAnswered{Order: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want that of the second start", n)
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -149,7 +149,7 @@
 func crash(w *world, fw *fakeWorker) {
 	fw.endLife(w)
 	fw.entry.BornUnix++
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 }
 
 // endLife clears the worker's state.
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -35,7 +35,7 @@
 func TestEntryOfAnEarlierLifeComesLate(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
-	w.tell(WorkerListed{Entry: earlier})
+	w.deliver(WorkerListed{Entry: earlier})
 	w.run(2 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the task runs on w1", n)
@@ -55,7 +55,7 @@
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the task runs on w1", n)
 	}
-	w.tell(WorkerListed{Entry: w.workers["w1"].entry})
+	w.deliver(WorkerListed{Entry: w.workers["w1"].entry})
 	w.run(time.Second)
 	if n := len(w.workers["w1"].runs); n != 1 {
 		t.Errorf("%d runs on w1, which is listed again, want 1", n)
@@ -72,9 +72,9 @@
 	w.run(100 * time.Millisecond)
 	fw.endLife(w)
 	fw.entry.BornUnix = 900
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(time.Second)
-	w.tell(WorkerListed{Entry: fw.entry}) // the worker's next report
+	w.deliver(WorkerListed{Entry: fw.entry}) // the worker's next report
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(2 * time.Second)
 	w.mustComplete("a")
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -187,7 +187,7 @@
 		downtime += 5 * time.Second
 		w.at(4500*time.Millisecond, func() {
 			fw.listed = &model.WorkerEntry{}
-			w.tell(WorkerUnlisted{ID: fw.entry.ID})
+			w.deliver(WorkerUnlisted{ID: fw.entry.ID})
 		})
 	}
 	w.at(downtime, func() {
@@ -205,7 +205,7 @@
 // incarnation is replaced by the next report of the present one.
 func (w *world) list(fw *fakeWorker, entry model.WorkerEntry) {
 	fw.listed = &entry
-	w.tell(WorkerListed{Entry: entry})
+	w.deliver(WorkerListed{Entry: entry})
 	if entry.BornUnix != fw.entry.BornUnix {
 		w.at(reportInterval, func() { w.list(fw, fw.entry) })
 	}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -152,7 +152,7 @@
 	w.workers[id] = fw
 	w.names = append(w.names, id)
 	sort.Strings(w.names)
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 	return fw
 }
 
@@ -198,7 +198,7 @@
 	w.at(20*time.Millisecond, func() { w.tick(generation) })
 }
 
-func (w *world) tell(ev Event) {
+func (w *world) deliver(ev Event) {
 	if w.sched != nil {
 		w.step(ev)
 	}
@@ -214,13 +214,13 @@
 	j.Workspace, j.Queue, j.AcceptedUnixMs = "ws", queue, w.now.Milliseconds()
 	r := &record.Intake{Kind: &record.Intake_Submitted{Submitted: j}}
 	w.intake = append(w.intake, r)
-	w.tell(IntakeRead{Records: []*record.Intake{r}})
+	w.deliver(IntakeRead{Records: []*record.Intake{r}})
 }
 
 func (w *world) cancel(id string) {
 	r := &record.Intake{Kind: &record.Intake_Cancelled{Cancelled: id}}
 	w.intake = append(w.intake, r)
-	w.tell(IntakeRead{Records: []*record.Intake{r}})
+	w.deliver(IntakeRead{Records: []*record.Intake{r}})
 }
 
 func (w *world) step(ev Event) {
