--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -37,10 +37,10 @@
 	}
 	a.failed = append(a.failed, a.w.now+c.Timeout)
 	if a.flaps {
-		a.w.at(c.Timeout+time.Millisecond, func() {
+		a.w.after(c.Timeout+time.Millisecond, func() {
 			a.w.deliver(HostsSeen{Hosts: slices.DeleteFunc(slices.Clone(a.hosts), func(h string) bool { return h == c.Host })})
 		})
-		a.w.at(c.Timeout+300*time.Millisecond, func() { a.w.deliver(HostsSeen{Hosts: a.hosts}) })
+		a.w.after(c.Timeout+300*time.Millisecond, func() { a.w.deliver(HostsSeen{Hosts: a.hosts}) })
 	}
 	return c.Timeout, false
 }
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -127,19 +127,19 @@
 	switch w.rng.IntN(calls) {
 	case 0:
 		w.stopLeader()
-		w.at(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
+		w.after(time.Duration(w.rng.Int64N(int64(3*time.Second))), func() {
 			if w.sched == nil {
 				w.startLeader()
 			}
 		})
 	case 1:
 		fw.cut = true
-		w.at(time.Duration(w.rng.Int64N(int64(12*time.Second))), func() { fw.cut = false })
+		w.after(time.Duration(w.rng.Int64N(int64(12*time.Second))), func() { fw.cut = false })
 	case 2:
 		restart(w, fw)
 	case 3:
 		w.logDown = true
-		w.at(time.Duration(w.rng.Int64N(int64(4*time.Second))), func() { w.logDown = false })
+		w.after(time.Duration(w.rng.Int64N(int64(4*time.Second))), func() { w.logDown = false })
 	}
 }
 
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -134,7 +134,7 @@
 // all if it ends with its connection, otherwise by the incarnation that exists then.
 func (w *world) strictCall(generation int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
 	reply := func(after time.Duration, e CallError) { w.answer(generation, after, func() Event { return event(e) }) }
-	w.at(after, func() {
+	w.after(after, func() {
 		fw := w.workers[ref.ID]
 		switch {
 		case fw.cut:
@@ -155,7 +155,7 @@
 		if lost {
 			reply(callTimeout, CallNoAnswer)
 		}
-		w.at(testDelay+late, func() {
+		w.after(testDelay+late, func() {
 			if fw.cut || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.lateCallsReachNext) {
 				if !lost {
 					reply(callTimeout, CallNoAnswer)
@@ -185,19 +185,19 @@
 	listingDelay := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 	if w.rng.IntN(4) == 0 { // long enough for its entry to expire
 		downtime += 5 * time.Second
-		w.at(4500*time.Millisecond, func() {
+		w.after(4500*time.Millisecond, func() {
 			fw.listed = &model.WorkerEntry{}
 			w.deliver(WorkerUnlisted{ID: fw.entry.ID})
 		})
 	}
-	w.at(downtime, func() {
+	w.after(downtime, func() {
 		fw.down = false
 		fw.bornAt = w.now
 		fw.drift = float64(w.rng.IntN(20)) / 1000
 		fw.entry.BornUnix = w.now.Milliseconds()
 		fw.entry.Capacity.MilliCPU = 6000 + w.rng.Int64N(3)*1000
 		entry := fw.entry
-		w.at(listingDelay, func() { w.list(fw, entry) })
+		w.after(listingDelay, func() { w.list(fw, entry) })
 	})
 }
 
@@ -207,7 +207,7 @@
 	fw.listed = &entry
 	w.deliver(WorkerListed{Entry: entry})
 	if entry.BornUnix != fw.entry.BornUnix {
-		w.at(reportInterval, func() { w.list(fw, fw.entry) })
+		w.after(reportInterval, func() { w.list(fw, fw.entry) })
 	}
 }
 
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-func (w *world) at(after time.Duration, do func()) {
+func (w *world) after(after time.Duration, do func()) {
 	w.lastSeq++
 	heap.Push(&w.events, timedEvent{w.now + after, w.lastSeq, do})
 }
@@ -195,7 +195,7 @@
 	}
 	w.step(Tick{UnixMs: w.now.Milliseconds(), LinkLoad: w.linkLoad})
 	w.step(Schedule{})
-	w.at(20*time.Millisecond, func() { w.tick(generation) })
+	w.after(20*time.Millisecond, func() { w.tick(generation) })
 }
 
 func (w *world) deliver(ev Event) {
@@ -232,7 +232,7 @@
 
 // answer delivers an event to the scheduler that made the call, unless it was replaced.
 func (w *world) answer(generation int, after time.Duration, ev func() Event) {
-	w.at(after, func() {
+	w.after(after, func() {
 		if generation == w.generation && w.sched != nil {
 			w.step(ev())
 			w.step(Schedule{})
@@ -264,7 +264,7 @@
 
 func (w *world) append(generation int, c Append) {
 	w.pendingAppends = append(w.pendingAppends, pendingAppend{generation, c, w.now})
-	w.at(testDelay, w.flushLog)
+	w.after(testDelay, w.flushLog)
 }
 
 // pendingAppend is an append that has not reached the log yet. Appends keep their order.
@@ -276,7 +276,7 @@
 
 func (w *world) flushLog() {
 	if w.logDown {
-		w.at(50*time.Millisecond, w.flushLog)
+		w.after(50*time.Millisecond, w.flushLog)
 		return
 	}
 	for _, u := range w.pendingAppends {
@@ -302,7 +302,7 @@
 		return
 	}
 	late := w.late(name)
-	w.at(after+testDelay+late, func() {
+	w.after(after+testDelay+late, func() {
 		// A call addresses its worker by ID alone: a late one may reach the next incarnation.
 		if fw.cut {
 			w.answer(generation, timeout, func() Event { return event(CallNoAnswer) })
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -89,7 +89,7 @@
 		return
 	}
 	r.runTime = w.runTime(o.Task) * max(1, fw.slowdown)
-	w.at(r.runTime, func() {
+	w.after(r.runTime, func() {
 		w.expireLease(fw)
 		if fw.runs[o.Task] == r && !fw.hangs {
 			w.finish(fw, o.Task)
@@ -134,7 +134,7 @@
 // member that waits longer than testGangWait ends alone. Members end together: one
 // lists the end for all, or, if it fails, the others end as lost.
 func (w *world) joinGang(fw *fakeWorker, id model.TaskID, r *fakeRun, step *record.Step) {
-	w.at(testGangWait, func() {
+	w.after(testGangWait, func() {
 		w.expireLease(fw) // a member whose lease has expired has ended already
 		if fw.runs[id] == r && len(w.members(id, r.number)) < int(step.Count) {
 			fw.gangTimeouts = append(fw.gangTimeouts, id)
@@ -144,7 +144,7 @@
 	if len(w.members(id, r.number)) < int(step.Count) {
 		return
 	}
-	w.at(w.runTime(id), func() {
+	w.after(w.runTime(id), func() {
 		members := w.members(id, r.number)
 		if len(members) < int(step.Count) {
 			w.endRemainingMembers(id, r.number)
