--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -20,7 +20,7 @@
 	w.startLeader()
 	w.run(100 * time.Millisecond)
 	first := true
-	w.late = func(call string) time.Duration {
+	w.callDelay = func(call string) time.Duration {
 		if call != "start" || !first {
 			return 0
 		}
@@ -117,13 +117,13 @@
 	fw := w.addWorker("w1", 8)
 	w.startLeader()
 	w.run(100 * time.Millisecond)
-	w.late = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
+	w.callDelay = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
 	j := oneStep("a", &record.Step{Count: 1})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
 		Advice: &record.Advice{DecideMs: 5, EachMs: 1, ValidMs: 2000}}
 	w.submit(j)
 	w.run(200 * time.Millisecond)
-	w.late = func(string) time.Duration { return 0 }
+	w.callDelay = func(string) time.Duration { return 0 }
 	crash(w, fw)
 	w.run(500 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -56,7 +56,7 @@
 	}
 	faultFree := false
 	w.randomizeTasks(&faultFree)
-	w.late = func(call string) time.Duration {
+	w.callDelay = func(call string) time.Duration {
 		if faultFree || call == "hold" || w.rng.IntN(60) != 0 {
 			return 0
 		}
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -146,11 +146,11 @@
 		case fw.entry.BornUnix != ref.BornUnix:
 			reply(2*testDelay, CallOtherLife)
 			return
-		case w.rng.IntN(callsPerConnection) == 0 && w.late("proof") > 0:
+		case w.rng.IntN(callsPerConnection) == 0 && w.callDelay("proof") > 0:
 			reply(callTimeout, CallNotSent)
 			return
 		}
-		late := w.late(name)
+		late := w.callDelay(name)
 		lost := late > 0 || w.losesAnswer(name)
 		if lost {
 			reply(callTimeout, CallNoAnswer)
@@ -257,7 +257,7 @@
 	}
 	faultFree := false
 	w.randomizeTasks(&faultFree)
-	w.late = func(string) time.Duration {
+	w.callDelay = func(string) time.Duration {
 		if faultFree || w.rng.IntN(30) != 0 {
 			return 0
 		}
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -123,7 +123,7 @@
 			fw := w.addWorker("w1", 8)
 			w.startLeader()
 			w.run(100 * time.Millisecond)
-			w.late = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
+			w.callDelay = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
 			j := oneStep("a", &record.Step{Count: 1})
 			j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000, Advice: advice}
 			w.submit(j)
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -42,7 +42,7 @@
 	fails        func(id model.TaskID, run int32) bool
 	issuesTicket func(step, worker string) bool  // the advice service issues a ticket
 	losesAnswer  func(call string) bool          // the call is carried out, but its answer is lost
-	late         func(call string) time.Duration // extra delay until the call is carried out
+	callDelay    func(call string) time.Duration // extra delay until the call is carried out
 	starts       map[model.TaskID]int
 	doneRuns     map[model.TaskID]int32
 	failures     map[model.TaskID]int
@@ -123,7 +123,7 @@
 	w.fails = func(model.TaskID, int32) bool { return false }
 	w.issuesTicket = func(string, string) bool { return true }
 	w.losesAnswer = func(string) bool { return false }
-	w.late = func(string) time.Duration { return 0 }
+	w.callDelay = func(string) time.Duration { return 0 }
 	return w
 }
 
@@ -301,7 +301,7 @@
 		w.answer(generation, after+timeout, func() Event { return event(CallNoAnswer) })
 		return
 	}
-	late := w.late(name)
+	late := w.callDelay(name)
 	w.after(after+testDelay+late, func() {
 		// A call addresses its worker by ID alone: a late one may reach the next incarnation.
 		if fw.cut {
