--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -16,7 +16,7 @@
 		for len(w.sched.order[0].runs) == 0 || w.sched.order[0].runs[0].phase != phaseRunning {
 			w.run(5 * time.Millisecond)
 		}
-		w.workers["w0"].cut = true
+		w.workers["w0"].unreachable = true
 		over := w.sched.order[0].lapsesAt()
 		w.linkLoad = load
 		for at := w.now; w.now < at+10*time.Second; w.run(5 * time.Millisecond) {
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -102,7 +102,7 @@
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
 	crash(w, fw)
-	fw.cut = true
+	fw.unreachable = true
 	w.run(lateCall - time.Second - (w.now - sent))
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
@@ -137,7 +137,7 @@
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	next := fw.entry
 	next.ID, next.BornUnix = "w3", 2
-	fw.cut = true
+	fw.unreachable = true
 	w.deliver(WorkerListed{Entry: next})
 	w.run(200 * time.Millisecond)
 	if n := len(w.workers["w2"].runs); n != 1 {
@@ -196,12 +196,12 @@
 	before := fw.fence
 	w.deliver(WorkerUnlisted{ID: "w1"})
 	fw.endLife(w)
-	fw.cut = true
+	fw.unreachable = true
 	w.run(5 * time.Second)
 	if len(w.sched.workers) != 0 {
 		t.Fatal("the worker is not forgotten")
 	}
-	fw.cut = false
+	fw.unreachable = false
 	fw.entry.BornUnix++
 	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(100 * time.Millisecond)
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -92,7 +92,7 @@
 func (w *world) mustEnd(jobs []string) {
 	w.logDown = false
 	for _, fw := range w.workers {
-		fw.cut = false
+		fw.unreachable = false
 	}
 	if w.sched == nil {
 		w.startLeader()
@@ -133,8 +133,8 @@
 			}
 		})
 	case 1:
-		fw.cut = true
-		w.after(time.Duration(w.rng.Int64N(int64(12*time.Second))), func() { fw.cut = false })
+		fw.unreachable = true
+		w.after(time.Duration(w.rng.Int64N(int64(12*time.Second))), func() { fw.unreachable = false })
 	case 2:
 		restart(w, fw)
 	case 3:
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -64,7 +64,7 @@
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
 		at = append(at, w.now)
 		if i == 120 {
-			w.workers["w0"].cut, w.workers["w1"].cut = true, true
+			w.workers["w0"].unreachable, w.workers["w1"].unreachable = true, true
 		}
 		w.run(25 * time.Millisecond)
 		noteDone(w, done)
@@ -97,9 +97,9 @@
 	w.runTime = func(model.TaskID) time.Duration { return 8 * time.Second }
 	w.submitTo(slowJob("s", 32), "slow")
 	w.run(time.Second)
-	w.workers["w0"].cut = true
+	w.workers["w0"].unreachable = true
 	w.run(5 * time.Second)
-	w.workers["w0"].cut = false
+	w.workers["w0"].unreachable = false
 	w.run(10 * time.Second)
 	w.mustComplete("s")
 	for id, n := range w.starts {
@@ -187,7 +187,7 @@
 			least = fw
 		}
 	}
-	least.cut = true
+	least.unreachable = true
 	before := len(w.sched.workers[least.entry.ID].runs)
 	for i := range 50 {
 		urgent(100 + i)
--- a/region/step_test.go
+++ b/region/step_test.go
@@ -285,12 +285,12 @@
 			assigned = assigned || e.GetAssigned() != nil
 		}
 	}
-	w.workers["w1"].cut = true
+	w.workers["w1"].unreachable = true
 	w.run(testGangWait + time.Second)
 	if alone := w.workers["w2"].gangTimeouts; len(alone) != 0 {
 		t.Errorf("%v waited until the time-out for a member whose start had been given up", alone)
 	}
-	w.workers["w1"].cut = false
+	w.workers["w1"].unreachable = false
 	w.run(15 * time.Second)
 	w.mustComplete("gang")
 }
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -137,7 +137,7 @@
 	w.after(after, func() {
 		fw := w.workers[ref.ID]
 		switch {
-		case fw.cut:
+		case fw.unreachable:
 			reply(callTimeout, CallNoAnswer)
 			return
 		case fw.down:
@@ -156,7 +156,7 @@
 			reply(callTimeout, CallNoAnswer)
 		}
 		w.after(testDelay+late, func() {
-			if fw.cut || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.lateCallsReachNext) {
+			if fw.unreachable || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.lateCallsReachNext) {
 				if !lost {
 					reply(callTimeout, CallNoAnswer)
 				}
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -64,7 +64,7 @@
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
 	w.stopLeader()
-	w.workers["w1"].cut = true
+	w.workers["w1"].unreachable = true
 	w.addWorker("w2", 1)
 	w.startLeader()
 	w.run(8 * time.Second)
@@ -88,7 +88,7 @@
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
-	w.workers["w1"].cut = true
+	w.workers["w1"].unreachable = true
 	w.addWorker("w2", 1)
 	w.run(testLease + 5*time.Second)
 	w.mustComplete("a")
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -59,7 +59,7 @@
 	nextEnd      int64
 	until        int64
 	voidEnds     int // how many ends at the front of ends a lease expiry has made void
-	cut          bool
+	unreachable  bool
 	hangs        bool               // tasks start but make no progress
 	slowdown     time.Duration      // factor by which tasks take longer; 0 for 1
 	bornAt       time.Duration      // when its clock started
@@ -297,14 +297,14 @@
 	}
 	fw := w.workers[ref.ID]
 	const timeout = 400 * time.Millisecond
-	if fw == nil || fw.cut || fw.entry.Address != ref.Address {
+	if fw == nil || fw.unreachable || fw.entry.Address != ref.Address {
 		w.answer(generation, after+timeout, func() Event { return event(CallNoAnswer) })
 		return
 	}
 	late := w.callDelay(name)
 	w.after(after+testDelay+late, func() {
 		// A call addresses its worker by ID alone: a late one may reach the next incarnation.
-		if fw.cut {
+		if fw.unreachable {
 			w.answer(generation, timeout, func() Event { return event(CallNoAnswer) })
 			return
 		}
