--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -195,7 +195,7 @@
 	w.run(100 * time.Millisecond)
 	before := fw.fence
 	w.deliver(WorkerUnlisted{ID: "w1"})
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.unreachable = true
 	w.run(5 * time.Second)
 	if len(w.sched.workers) != 0 {
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -147,13 +147,13 @@
 // ID. Ends that the scheduler has not recorded are void, and tickets of the earlier
 // incarnation are invalid in the next one.
 func crash(w *world, fw *fakeWorker) {
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.entry.BornUnix++
 	w.deliver(WorkerListed{Entry: fw.entry})
 }
 
-// endLife clears the worker's state.
-func (fw *fakeWorker) endLife(w *world) {
+// clearState clears the worker's state.
+func (fw *fakeWorker) clearState(w *world) {
 	for _, e := range fw.ends[fw.voidEnds:] {
 		w.discardEnd(e)
 	}
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -70,7 +70,7 @@
 	fw.entry.BornUnix = 1000
 	w.startLeader()
 	w.run(100 * time.Millisecond)
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.entry.BornUnix = 900
 	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(time.Second)
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -175,7 +175,7 @@
 	if fw.down {
 		return
 	}
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.down = true
 	if fw.listed == nil {
 		earlier := fw.entry
