--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -13,7 +13,7 @@
 // does not recover when the burst is over.
 func TestLooksArePacedWhileEventsWait(t *testing.T) {
 	pause := func(behind time.Duration) time.Duration {
-		s, now := backlog(1, 0, 0)
+		s, now := newBacklogScheduler(1, 0, 0)
 		for range 20 * behindMemory {
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
 		}
@@ -62,7 +62,7 @@
 // sent again. Looks are paced as the link fills, and leases outlast the late ones.
 func TestLooksArePacedWhileTheLinkIsFull(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
-		s, now := backlog(1, 0, 0)
+		s, now := newBacklogScheduler(1, 0, 0)
 		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
 		return s.lookPause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
 	}
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// backlog returns a leading scheduler with a backlog of steps that all need advice,
+// newBacklogScheduler returns a leading scheduler with a newBacklogScheduler of steps that all need advice,
 // a fifth of them gangs. used is the milli-CPU in use on each worker.
-func backlog(workers, steps int, used int64) (*Scheduler, time.Duration) {
+func newBacklogScheduler(workers, steps int, used int64) (*Scheduler, time.Duration) {
 	s := New(testOptions())
 	now := time.Hour
 	s.Step(now, Tick{UnixMs: now.Milliseconds()})
@@ -49,7 +49,7 @@
 	for name, used := range map[string]int64{"full": 31500, "unadvised": 8000} {
 		for _, size := range []struct{ workers, steps int }{{48, 50}, {48, 1000}, {350, 1000}, {800, 2500}} {
 			b.Run(fmt.Sprintf("%s/workers=%d/steps=%d", name, size.workers, size.steps), func(b *testing.B) {
-				s, now := backlog(size.workers, size.steps, used)
+				s, now := newBacklogScheduler(size.workers, size.steps, used)
 				for b.Loop() {
 					now += time.Microsecond
 					s.provenAt, s.dirty, s.lastPass = now, true, 0
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -12,7 +12,7 @@
 // the first must not count for the second: its ticket is of another worker, and
 // a start with it would be refused, again and again.
 func TestMarksDoNotPassToALaterWorker(t *testing.T) {
-	s, now := backlog(1, 1, 0)
+	s, now := newBacklogScheduler(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.order[0]
 	st.advice.note(adviceMark{worker: left, good: true, ticket: "t", until: now + time.Second})
