--- a/model/model.go
+++ b/model/model.go
@@ -216,7 +216,7 @@
 	Checkpoint   string
 }
 
-// HoldResponse is a worker's response to a HoldOrder.
+// HoldResponse is a worker's response to a HoldRequest.
 type HoldResponse struct {
 	ClockMs  int64
 	BornUnix int64
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// stopLeader removes the scheduler; the region has no leader until lead is called.
+// stopLeader removes the scheduler; the region has no leader until startLeader is called.
 func (w *world) stopLeader() { w.generation++; w.sched = nil }
 
 func (w *world) tick(generation int) {
