--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// newBacklogScheduler returns a leading scheduler with a newBacklogScheduler of steps that all need advice,
-// a fifth of them gangs. used is the milli-CPU in use on each worker.
+// newBacklogScheduler returns a leading scheduler with a backlog of steps that all need
+// advice, a fifth of them gangs. used is the milli-CPU in use on each worker.
 func newBacklogScheduler(workers, steps int, used int64) (*Scheduler, time.Duration) {
 	s := New(testOptions())
 	now := time.Hour
