--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -37,10 +37,10 @@
 	}
 	a.failed = append(a.failed, a.w.now+c.Timeout)
 	if a.flaps {
-		a.w.at(c.Timeout+time.Millisecond, func() {
-			a.w.tell(HostsSeen{Hosts: slices.DeleteFunc(slices.Clone(a.hosts), func(h string) bool { return h == c.Host })})
+		a.w.after(c.Timeout+time.Millisecond, func() {
+			a.w.deliver(HostsSeen{Hosts: slices.DeleteFunc(slices.Clone(a.hosts), func(h string) bool { return h == c.Host })})
 		})
-		a.w.at(c.Timeout+300*time.Millisecond, func() { a.w.tell(HostsSeen{Hosts: a.hosts}) })
+		a.w.after(c.Timeout+300*time.Millisecond, func() { a.w.deliver(HostsSeen{Hosts: a.hosts}) })
 	}
 	return c.Timeout, false
 }
@@ -71,7 +71,7 @@
 			for i := range 16 {
 				w.addWorker(fmt.Sprintf("w%02d", i), 64)
 			}
-			w.lead()
+			w.startLeader()
 			a := w.newAdviceService("", "h1", "h2", "h3", "h4", "h5")
 			a.flaps = flaps
 			for _, h := range a.hosts {
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -17,10 +17,10 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	first := true
-	w.late = func(call string) time.Duration {
+	w.callDelay = func(call string) time.Duration {
 		if call != "start" || !first {
 			return 0
 		}
@@ -53,14 +53,14 @@
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(time.Second)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustRunOnce("a")
 }
@@ -69,21 +69,21 @@
 // calls have come to.
 func TestInheritedStartInTheNextLife(t *testing.T) {
 	w, fw := lateStart(t, 4*time.Second, &record.Step{Count: 1})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(500 * time.Millisecond)
-	w.lead()
+	w.startLeader()
 	w.run(500 * time.Millisecond) // w1 has answered and lists nothing
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
 	}
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(4 * time.Second)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustComplete("a")
 }
@@ -102,7 +102,7 @@
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
 	crash(w, fw)
-	fw.cut = true
+	fw.unreachable = true
 	w.run(lateCall - time.Second - (w.now - sent))
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start at w1 may come", n)
@@ -115,15 +115,15 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
-	w.late = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
+	w.callDelay = func(call string) time.Duration { return map[string]time.Duration{"start": time.Hour}[call] }
 	j := oneStep("a", &record.Step{Count: 1})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
 		Advice: &record.Advice{DecideMs: 5, EachMs: 1, ValidMs: 2000}}
 	w.submit(j)
 	w.run(200 * time.Millisecond)
-	w.late = func(string) time.Duration { return 0 }
+	w.callDelay = func(string) time.Duration { return 0 }
 	crash(w, fw)
 	w.run(500 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
@@ -137,8 +137,8 @@
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	next := fw.entry
 	next.ID, next.BornUnix = "w3", 2
-	fw.cut = true
-	w.tell(WorkerListed{Entry: next})
+	fw.unreachable = true
+	w.deliver(WorkerListed{Entry: next})
 	w.run(200 * time.Millisecond)
 	if n := len(w.workers["w2"].runs); n != 1 {
 		t.Errorf("%d runs on w2, want 1", n)
@@ -149,14 +149,14 @@
 // the others have been stopped.
 func TestLateMemberOfAGangIsStopped(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(2 * time.Second)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.lead()
+	w.startLeader()
 	w.run(time.Second)
 	for id, r := range fw.runs {
 		if r.number == 1 {
@@ -171,17 +171,17 @@
 // worker's next life, and a new leader takes the run for over with the earlier one.
 func TestLateRunIsTakenOver(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
-	w.stopLeading()
+	w.stopLeader()
 	w.run(underWay)
 	crash(w, fw)
 	w.run(2 * time.Second)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want the late one", n)
 	}
-	w.stopLeading()
-	w.lead()
+	w.stopLeader()
+	w.startLeader()
 	w.run(20 * time.Second)
 	w.mustRunOnce("a")
 }
@@ -191,19 +191,19 @@
 func TestTokenRisesAfterAWorkerWasForgotten(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 8)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	before := fw.fence
-	w.tell(WorkerUnlisted{ID: "w1"})
-	fw.endLife(w)
-	fw.cut = true
+	w.deliver(WorkerUnlisted{ID: "w1"})
+	fw.clearState(w)
+	fw.unreachable = true
 	w.run(5 * time.Second)
 	if len(w.sched.workers) != 0 {
 		t.Fatal("the worker is not forgotten")
 	}
-	fw.cut = false
+	fw.unreachable = false
 	fw.entry.BornUnix++
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(100 * time.Millisecond)
 	if fw.fence <= before {
 		t.Errorf("token %d in the new life, %d in the one before", fw.fence, before)
@@ -216,7 +216,7 @@
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
 	r := w.sched.find(id).run
-	w.tell(StartAnswered{Order: model.StartOrder{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
+	w.deliver(StartAnswered{Order: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want that of the second start", n)
--- a/region/event.go
+++ b/region/event.go
@@ -43,22 +43,22 @@
 
 	// Held is the answer to a Hold, which was sent at SentAt.
 	Held struct {
-		Order  model.HoldOrder
+		Order  model.HoldRequest
 		SentAt time.Duration
-		Hold   model.Hold
+		Hold   model.HoldResponse
 		Err    CallError
 	}
 
 	// StartAnswered is the answer to a Start.
 	StartAnswered struct {
-		Order  model.StartOrder
+		Order  model.StartRequest
 		SentAt time.Duration
 		Err    CallError
 	}
 
 	// StopAnswered is the answer to a Stop.
 	StopAnswered struct {
-		Order  model.StopOrder
+		Order  model.StopRequest
 		SentAt time.Duration
 		Err    CallError
 	}
@@ -131,17 +131,17 @@
 
 	// Start, Stop and Hold are calls to a worker.
 	Start struct {
-		Order model.StartOrder
+		Order model.StartRequest
 		After time.Duration // wait before the call
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
-		Order model.StopOrder
+		Order model.StopRequest
 		After time.Duration
 	}
 	// Hold renews leases and looks.
 	Hold struct {
-		Order model.HoldOrder
+		Order model.HoldRequest
 		After time.Duration
 	}
 
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -14,7 +14,7 @@
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
 	earlier := fw.entry
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	crash(w, fw)
 	w.run(100 * time.Millisecond)
@@ -35,7 +35,7 @@
 func TestEntryOfAnEarlierLifeComesLate(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
-	w.tell(WorkerListed{Entry: earlier})
+	w.deliver(WorkerListed{Entry: earlier})
 	w.run(2 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the task runs on w1", n)
@@ -48,14 +48,14 @@
 func TestNewLeaderFindsAnEarlierLifeListed(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
-	w.stopLeading()
+	w.stopLeader()
 	w.workers["w1"].listed = &earlier
-	w.lead()
+	w.startLeader()
 	w.run(2 * time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the task runs on w1", n)
 	}
-	w.tell(WorkerListed{Entry: w.workers["w1"].entry})
+	w.deliver(WorkerListed{Entry: w.workers["w1"].entry})
 	w.run(time.Second)
 	if n := len(w.workers["w1"].runs); n != 1 {
 		t.Errorf("%d runs on w1, which is listed again, want 1", n)
@@ -68,13 +68,13 @@
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 1)
 	fw.entry.BornUnix = 1000
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.entry.BornUnix = 900
-	w.tell(WorkerListed{Entry: fw.entry})
+	w.deliver(WorkerListed{Entry: fw.entry})
 	w.run(time.Second)
-	w.tell(WorkerListed{Entry: fw.entry}) // the worker's next report
+	w.deliver(WorkerListed{Entry: fw.entry}) // the worker's next report
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(2 * time.Second)
 	w.mustComplete("a")
@@ -87,13 +87,13 @@
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("a", &record.Step{Count: 1}))
 	w.run(200 * time.Millisecond)
-	w.stopLeading()
+	w.stopLeader()
 	crash(w, fw)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Errorf("%d runs in the next life, want 1", n)
