--- a/region/departed.go
+++ b/region/departed.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// departed remembers how many lives were counted of workers that have been forgotten.
+// departed keeps the incarnation counts of workers that have left and been removed.
 //
-// The guard is against a look that is carried out late, when its worker has left, was
-// forgotten and is back under the same id: counted from zero again, the fencing token of the
-// new life would be that of the earlier one, and the look would take note of ends that
-// nobody has read. It lasts as long as a call may be late.
+// The guard is against a probe that is executed late, after its worker has left, was
+// removed and has come back under the same id. If the count began at zero again, the new
+// incarnation would have the fencing token of the earlier one, and the probe would
+// acknowledge ends that were never read. The count is kept for longer than a call can be
+// late.
 type departed struct {
 	byID  map[string]departure
-	queue []string // in the order they left
+	queue []string // ids in the order of departure
 }
 
 type departure struct {
@@ -26,7 +27,7 @@
 	d.queue = append(d.queue, id)
 }
 
-// lives returns how many lives a worker has had, as far as is remembered.
+// incarnations returns the kept incarnation count of a worker, or 0 if there is none.
 func (d *departed) lives(id string) int64 { return d.byID[id].lives }
 
 func (d *departed) expire(now time.Duration) {
@@ -41,5 +42,5 @@
 	d.queue = d.queue[n:]
 }
 
-// departedFor is how long a worker is remembered: longer than any call is late.
+// departedRetention is how long a count is kept: longer than any call can be late.
 const departedFor = time.Minute
--- a/region/doubt.go
+++ b/region/doubt.go
@@ -8,18 +8,18 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// lateCall is the longest time after its sending at which a call without an answer may
-// still be carried out.
+// lateCallWindow is the longest time after sending at which a call without an answer may
+// still be executed.
 const lateCall = 8 * time.Second
 
-// startCalls counts the calls that ask for the start of a run.
+// startCalls tracks the start calls of a run.
 type startCalls struct {
-	unanswered int           // under way, or without an answer for good
-	executed   bool          // one of those has been carried out: the worker has listed the run
-	confirmed  bool          // another one was answered: that the run is listed tells nothing of those
-	until      time.Duration // when the newest of them is settled, whatever became of it
-	unknown    bool          // an earlier leader made them and kept no record of their answers
-	recorded   bool          // a record says that all of them are settled
+	unanswered int           // calls in flight or timed out
+	executed   bool          // one of those was executed: the worker has listed the run
+	confirmed  bool          // another one was answered, so a listed run does not show that one of those was executed
+	until      time.Duration // when the newest call can no longer be executed
+	unknown    bool          // an earlier leader sent them, and their outcome is not recorded
+	recorded   bool          // the log has a record that all of them are settled
 }
 
 func (c *startCalls) sent(at time.Duration) {
@@ -37,15 +37,16 @@
 	}
 }
 
-// seen notes that the worker has listed the run.
+// runListed notes that the worker has listed the run.
 func (c *startCalls) seen() {
 	c.executed = !c.confirmed
 	c.unknown = false
 }
 
-// settle notes that no call can be carried out any more.
+// settle notes that no call can be executed any more.
 func (c *startCalls) settle() { c.unanswered, c.unknown = 0, false }
 
+// mayExecute reports whether a call may still be executed.
 func (c *startCalls) open(now time.Duration) bool {
 	left := c.unanswered
 	if c.executed {
@@ -54,14 +55,14 @@
 	return left > 0 && now < c.until
 }
 
-// inDoubt reports whether a start of the run may still be carried out, in this life of its
-// worker or a later one.
+// mayStartLate reports whether a start call of the run may still be executed, in this
+// incarnation of its worker or a later one.
 //
-// The guard is against a start that gets no answer and is carried out seconds later by the
-// worker's next life, which has seen no fencing token of ours: an order names its worker by
-// id alone. If the task had been started elsewhere meanwhile, it would run twice. Tickets
-// hold in one life of a worker only, so that a late start with a ticket is refused, and
-// copies of speculative tasks may run at the same time.
+// The guard is against a start call without an answer that the worker's next incarnation
+// executes seconds later: the call names its worker by id alone, and that incarnation has
+// not seen this leader's fencing token. If the task had been started elsewhere in the
+// meantime, it would run twice. A ticket is valid in one incarnation only, so a late start
+// with a ticket is refused. Copies of speculative tasks may run at the same time.
 func (s *Scheduler) inDoubt(r *run) bool {
 	st := r.task.step
 	switch {
@@ -73,8 +74,9 @@
 	return r.calls.open(s.now)
 }
 
-// keepInDoubt holds a run that is over as far as its worker tells, while a start of it may
-// still be carried out: its task waits, and its room in the workspace's cap is taken.
+// awaitLateStart keeps a run that its worker reports as over while a start call of it may
+// still be executed. Until then the task is not started again, and the run counts towards
+// the workspace's cap. The log message is "run in doubt".
 func (s *Scheduler) keepInDoubt(r *run, why string) {
 	if r.phase == phaseInDoubt {
 		return
@@ -90,7 +92,7 @@
 	s.publish(r.task.step.job)
 }
 
-// resolveDoubts ends the runs in doubt that can begin no more.
+// resolveLateStarts ends the runs of awaitLateStart that can no longer start.
 func (s *Scheduler) resolveDoubts() {
 	if len(s.doubts) == 0 {
 		return
@@ -108,9 +110,10 @@
 	}
 }
 
-// adopt takes over a run in doubt that its worker lists: the start has been carried out in
-// the worker's present life. A record of that keeps a successor from taking the run for over
-// with the earlier life. A member of a gang is stopped, as the others are.
+// adopt continues a run of awaitLateStart that its worker lists: the start call was executed
+// in the worker's present incarnation. The incarnation is recorded, as a new leader would
+// otherwise end the run together with the earlier one. A member of a gang is stopped like
+// the other members.
 func (s *Scheduler) adopt(r *run) {
 	s.explain(r.task.step.job.rec.Id, "run in doubt began", Field{"worker", r.ref.ID}, Field{"run", r.number},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index})
@@ -122,8 +125,8 @@
 	}
 }
 
-// recordSettled keeps that no start of a run is under way any more, so that a successor
-// need not wait for one. Runs with tickets are never in doubt.
+// recordSettled records that no start call of the run can be executed any more: a new
+// leader need not wait for one. Runs with tickets never start late and need no record.
 func (s *Scheduler) recordSettled(r *run) {
 	st := r.task.step
 	if r.calls.recorded || st.advised() || st.rec.Speculative || s.inDoubt(r) {
@@ -133,7 +136,7 @@
 	s.append(&record.Entry{Kind: &record.Entry_Settled{Settled: &record.Settled{Task: r.task.id().Record(), Run: r.number}}})
 }
 
-// replaySettled applies such a record.
+// replaySettled applies a record of recordSettled.
 func (s *Scheduler) replaySettled(e *record.Settled) {
 	t := s.find(model.TaskIDOf(e.Task))
 	if t == nil || t.run == nil || t.run.number != e.Run {
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -8,11 +8,11 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// underWay is enough for looks that a leader which is gone has ordered.
+// inFlightTime is enough for the probes of a stopped leader to arrive.
 const underWay = 300 * time.Millisecond
 
-// lateStart has w1 and w2 and a job whose start on w1 is carried out after a while; w1 dies
-// before that.
+// lateStart returns a world with workers w1 and w2 and a job whose start on w1 is executed
+// with a delay, and w1, which the caller crashes before that.
 func lateStart(t *testing.T, late time.Duration, step *record.Step) (*world, *fakeWorker) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
@@ -27,7 +27,7 @@
 		first = false
 		return late
 	}
-	step.EstimateMs = 10_000 // patient work has leases that outlive the delay
+	step.EstimateMs = 10_000 // deferrable work has leases longer than the delay
 	w.submit(oneStep("a", step))
 	w.run(100 * time.Millisecond)
 	w.addWorker("w2", 8)
@@ -35,7 +35,7 @@
 	return w, fw
 }
 
-// mustRunOnce fails unless the job of one task is completed and was started once.
+// mustRunOnce fails the test unless the job of one task is completed and was started once.
 func (w *world) mustRunOnce(id string) {
 	w.t.Helper()
 	w.mustComplete(id)
@@ -44,14 +44,14 @@
 	}
 }
 
-// Guards against a task that runs twice: its start is carried out in its worker's third
-// life, after the second one has shown that nothing runs there.
+// Guards against a task that runs twice: its start is executed in its worker's third
+// incarnation, after the second one has answered a probe and listed no run.
 func TestStartInTheThirdLife(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	crash(w, fw)
 	w.run(time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
-		t.Errorf("%d runs on w2 while the start at w1 may come", n)
+		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
 	w.stopLeading()
 	w.run(underWay)
@@ -65,8 +65,8 @@
 	w.mustRunOnce("a")
 }
 
-// Guards against the same under a new leader, which does not know what its predecessor's
-// calls have come to.
+// Guards against the same under a new leader, which does not know the outcome of the calls of
+// the earlier one.
 func TestInheritedStartInTheNextLife(t *testing.T) {
 	w, fw := lateStart(t, 4*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
@@ -74,7 +74,7 @@
 	w.lead()
 	w.run(500 * time.Millisecond) // w1 has answered and lists nothing
 	if n := len(w.workers["w2"].runs); n != 0 {
-		t.Errorf("%d runs on w2 while the start at w1 may come", n)
+		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
 	w.stopLeading()
 	w.run(underWay)
@@ -88,7 +88,7 @@
 	w.mustComplete("a")
 }
 
-// Guards against a task that waits for ever behind a start that never comes.
+// Guards against a task that waits without limit for a start that is never executed.
 func TestDoubtEnds(t *testing.T) {
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	crash(w, fw)
@@ -96,8 +96,8 @@
 	w.mustComplete("a")
 }
 
-// Guards against a doubt that ends too soon: the next life does not answer, and what it may
-// have been granted is over before the start is.
+// Guards against a wait for a late start that ends too soon: the next incarnation does not
+// answer, and any lease of it is over before the start can no longer be executed.
 func TestDoubtOutlivesTheLeaseOfTheNextLife(t *testing.T) {
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
@@ -105,12 +105,12 @@
 	fw.cut = true
 	w.run(lateCall - time.Second - (w.now - sent))
 	if n := len(w.workers["w2"].runs); n != 0 {
-		t.Errorf("%d runs on w2 while the start at w1 may come", n)
+		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
 }
 
-// Guards against a wait for a start that no later life can carry out: its ticket holds in
-// the life that it was given for alone.
+// Guards against a wait for a start that no later incarnation accepts: its ticket is valid
+// only in the incarnation for which it was issued.
 func TestStartWithTicketIsNotWaitedFor(t *testing.T) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
@@ -127,12 +127,12 @@
 	crash(w, fw)
 	w.run(500 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
-		t.Errorf("%d runs in the next life, want the new one", n)
+		t.Errorf("%d runs in the next incarnation, want the new one", n)
 	}
 }
 
-// Guards against a wait for a start at an address that another worker has taken: that one
-// refuses what names the earlier id.
+// Guards against a wait for a start at an address that now belongs to another worker, which
+// refuses calls that name the earlier id.
 func TestAddressTakenByAnotherWorker(t *testing.T) {
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
 	next := fw.entry
@@ -145,8 +145,8 @@
 	}
 }
 
-// Guards against a member of a gang that holds its room for ever: its start comes late, when
-// the others have been stopped.
+// Guards against a member of a gang that keeps its room without limit: its start is executed
+// after the other members were stopped.
 func TestLateMemberOfAGangIsStopped(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
 	w.stopLeading()
@@ -160,15 +160,16 @@
 	w.run(time.Second)
 	for id, r := range fw.runs {
 		if r.number == 1 {
-			t.Errorf("%v run 1 still waits for the others", id)
+			t.Errorf("%v run 1 still waits for the other members", id)
 		}
 	}
 	w.run(20 * time.Second)
 	w.mustComplete("a")
 }
 
-// Guards against a task that runs again after it was done: its start came late, in its
-// worker's next life, and a new leader takes the run for over with the earlier one.
+// Guards against a task that runs again after it was done: its start was executed late, in
+// its worker's next incarnation, and a new leader would end the run together with the
+// earlier incarnation.
 func TestLateRunIsTakenOver(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
@@ -186,8 +187,9 @@
 	w.mustRunOnce("a")
 }
 
-// Guards against an end that is forgotten unread: its worker left, was forgotten and is back
-// under its id, and a look at the earlier life would carry the token of the new one.
+// Guards against an end that is acknowledged before it is read: its worker left, was removed
+// and came back under its id, and a probe of the earlier incarnation would have the fencing
+// token of the new one.
 func TestTokenRisesAfterAWorkerWasForgotten(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 8)
@@ -199,19 +201,19 @@
 	fw.cut = true
 	w.run(5 * time.Second)
 	if len(w.sched.workers) != 0 {
-		t.Fatal("the worker is not forgotten")
+		t.Fatal("the worker is not removed")
 	}
 	fw.cut = false
 	fw.entry.BornUnix++
 	w.tell(WorkerListed{Entry: fw.entry})
 	w.run(100 * time.Millisecond)
 	if fw.fence <= before {
-		t.Errorf("token %d in the new life, %d in the one before", fw.fence, before)
+		t.Errorf("fencing token %d in the new incarnation, want more than the %d before", fw.fence, before)
 	}
 }
 
-// Guards against a task that is started elsewhere while one of two starts of its run may come:
-// the other was carried out, and the worker lists its end.
+// Guards against a task that is started elsewhere while one of two starts of its run may still
+// be executed: the other one was executed, and the worker lists its end.
 func TestEndOfARunThatWasStartedTwice(t *testing.T) {
 	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
@@ -224,12 +226,12 @@
 	w.end(fw, id, record.Outcome_OUTCOME_LOST)
 	w.run(time.Second)
 	if n := len(fw.runs) + len(w.workers["w2"].runs); n != 0 {
-		t.Errorf("%d runs while the first start may come", n)
+		t.Errorf("%d runs while the first start may still be executed", n)
 	}
 }
 
-// Guards against a wait for a start that may run beside another: copies of the step's tasks
-// are allowed.
+// Guards against a wait for a late start of a speculative task, of which several copies may
+// run at the same time.
 func TestSpeculativeStartIsNotWaitedFor(t *testing.T) {
 	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1, Speculative: true})
 	crash(w, fw)
