--- a/region/end.go
+++ b/region/end.go
@@ -5,7 +5,7 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// abandon ends a run that left no end of its own, or holds it while a start of it may come
+// abandon ends a run whose worker reported no end, or keeps it while it may still start
 // late.
 func (s *Scheduler) abandon(r *run, why string) {
 	if s.inDoubt(r) {
@@ -15,7 +15,7 @@
 	s.lose(r, why)
 }
 
-// lose ends a run that left no end of its own. It counts as no attempt.
+// markLost ends a run whose worker reported no end. It does not count as an attempt.
 func (s *Scheduler) lose(r *run, why string) {
 	t := r.task
 	s.explain(t.step.job.rec.Id, "run lost", Field{"why", why}, Field{"worker", r.ref.ID},
@@ -27,7 +27,7 @@
 	s.publish(t.step.job)
 }
 
-// endOf keeps an end and counts it.
+// recordEnd appends the end of a run to the log and applies it.
 func (s *Scheduler) endOf(t *task, number int32, outcome record.Outcome, checkpoint string) {
 	s.append(&record.Entry{Kind: &record.Entry_Ended{Ended: &record.Ended{
 		Task: t.id().Record(), Run: number, Outcome: outcome, Checkpoint: checkpoint,
@@ -35,8 +35,8 @@
 	s.countEnd(t, number, outcome, checkpoint)
 }
 
-// endsAs reports whether an end of that kind is the task's last: one that lasts
-// is started again however it ends.
+// isFinal reports whether the outcome completes the task. A long-running task is started
+// again after any outcome.
 func (t *task) endsAs(outcome record.Outcome) bool {
 	return outcome == record.Outcome_OUTCOME_DONE && !t.step.rec.LongRunning
 }
@@ -83,7 +83,7 @@
 	s.breakGang(t, e.Run)
 }
 
-// countEnd counts the end of a run towards its task and job.
+// countEnd applies the end of a run to its task and job.
 func (s *Scheduler) countEnd(t *task, number int32, outcome record.Outcome, checkpoint string) {
 	first := number > t.endedRun
 	t.endedRun = max(t.endedRun, number)
@@ -102,7 +102,7 @@
 	s.dirty = true
 }
 
-// countFailure uses up an attempt; a gang has its attempts in common.
+// countFailure uses up an attempt. The members of a gang share their attempts.
 func (s *Scheduler) countFailure(t *task) {
 	if t.step.rec.LongRunning {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// saved remembers a checkpoint; any member's is valid for its gang.
+// saveCheckpoint stores a checkpoint; that of one member is valid for the whole gang.
 func (s *Scheduler) saved(t *task, checkpoint string) {
 	if !t.step.rec.Gang {
 		t.checkpoint = checkpoint
--- a/region/lease.go
+++ b/region/lease.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// shortLease is the lease of pressing work. A look waits for a leaseLooks-th of it
-	// at the worker, a lost one is noticed 300 ms later, and the next ones have to be
-	// answered before a lease is granted anew.
+	// shortLease is the lease of a worker with pressing work. A probe waits at the worker
+	// for a probesPerLease-th of it, a lost probe is noticed 300 ms later, and the next
+	// ones must be answered before a lease is granted again.
 	shortLease = 1200 * time.Millisecond
-	// leaseLooks is how many looks at a worker fit into its lease: one may get lost.
+	// probesPerLease is how many probes of a worker fit into its lease: one may be lost.
 	leaseLooks = 3
-	// restartTime is what lies between the end of a lease and the next run of its
-	// task, beside the run itself: the margin for the worker, advice, and an append.
+	// restartTime is the time between the end of a lease and the restart of its task: the
+	// worker's margin, advice and an append to the log.
 	restartTime = lapseMargin + 200*time.Millisecond
-	// apartShare of the time that a patient step may wait is spent looking for room
-	// that it does not share with pressing work. The rest is left for the case that
-	// there is none: all kinds of work then share all workers.
+	// separationShare is the part of a deferrable step's slack during which it avoids
+	// workers with pressing work. Afterwards it may use any worker, as there may be no
+	// other room.
 	apartShare = 0.5
 )
 
-// pressing reports whether the step's work is worth nothing any more once it has
-// been held for the longest lease and run again.
+// pressing reports whether the step's result is worthless if it is delayed by the longest
+// lease and run again. Other steps are deferrable.
 //
-// A worker that is cut off holds its work until its lease is over, as only then
-// may a task start elsewhere. Pressing work therefore has short leases; patient
-// work has long ones, as most cuts are over before they end and it would lose all
-// that it has done. All that runs on a worker has one lease, so the two are kept
-// apart as long as there is room.
+// A task on a worker behind a network partition can start elsewhere only when the
+// worker's lease is over. Pressing work therefore has short leases. Deferrable work has
+// long ones: most partitions end before the lease does, and a restart would lose its
+// progress. A worker has one lease for all its runs, so the two kinds are placed on
+// separate workers while there is room.
 //
-// In a cut of a zone for 6 s the urgent tasks there, of 0.64 s, were held for all
-// of the cut with leases of 6 s, beyond three times their objective.
+// With leases of 6 s, a partition of a zone for 6 s held the urgent tasks there, of
+// 0.64 s, for its whole length, beyond three times their objective.
 //
-// Declared run times are up to 90% off, so that a fifth of the urgent tasks counted
-// as patient by their own: what the queue's tasks usually take counts if it is less.
+// Declared run times are up to 90% off, and a fifth of the urgent tasks would count as
+// deferrable by them. The usual run time of the queue counts if it is shorter.
 func (s *Scheduler) pressing(st *step) bool {
 	if st.rec.LongRunning {
 		return false
@@ -56,9 +56,10 @@
 	n.patient += by
 }
 
-// leaseFor returns the lease that a worker gets. An idle one gets a short one: it
-// never shortens, and would be borne by the pressing work that comes next. With the link
-// full, looks come too late for short ones, and what lapses has to be sent again.
+// leaseFor returns the length of the lease that a worker gets. An idle worker gets a short
+// one: a granted lease cannot be shortened and would apply to pressing work placed there
+// next. With the leader's link full, probes are too late to renew short leases, and runs
+// whose leases lapse must be started again.
 func (s *Scheduler) leaseFor(w *worker) time.Duration {
 	if w.counts.patient > 0 || s.linkLoad > fullLink {
 		return s.opts.Lease
@@ -66,8 +67,8 @@
 	return min(shortLease, s.opts.Lease)
 }
 
-// leaseEnd returns the end of a lease that is granted now, on the worker's
-// clock, or 0 if it is not certain that no other host leads.
+// grantLease grants the worker a lease and returns its end in milliseconds of the worker's
+// clock, or 0 if another host may be the leader.
 func (s *Scheduler) leaseEnd(w *worker) int64 {
 	if !s.proven() {
 		return 0
@@ -78,18 +79,18 @@
 }
 
 const (
-	// mixPenalty ranks a worker on which patient and pressing work would meet behind
-	// any other that fits, in thousandths of a core: it is more than any worker has,
-	// so that best fit decides among workers of one kind.
+	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and pressing
+	// work would share a lease behind all other candidates. It is more than any worker
+	// has, so that best fit decides only among workers of one kind.
 	mixPenalty = 1e5
-	// gatherBonus ranks workers that both kinds share already before those that
-	// have patient work alone: the patient work there ends and no more comes, so
-	// that some workers are left with pressing work only.
+	// alreadyMixedBonus ranks workers that both kinds share already before those with
+	// deferrable work alone. The deferrable work there ends and none is added, which
+	// leaves some workers with pressing work only.
 	gatherBonus = mixPenalty / 2
 )
 
-// apartScore is what the other work of a worker, and the lease that it left behind,
-// add to the worker's rank for a step.
+// apartScore returns what the worker's other runs, and a long lease left by earlier ones,
+// add to its score for a step.
 func (s *Scheduler) apartScore(st *step, w *worker) float64 {
 	switch {
 	case !st.pressing && w.counts.pressing > 0:
@@ -102,17 +103,16 @@
 	return -mixPenalty
 }
 
-// longLeased reports whether what starts on the worker now would have to bear a
-// longer lease than a short one: leases that were granted last.
+// longLeased reports whether a lease granted earlier on the worker still lasts for more
+// than two short ones. It would apply to a run that starts there now.
 func (s *Scheduler) longLeased(w *worker) bool {
 	left := time.Duration(w.leaseMs-w.clock(s.now)) * time.Millisecond
 	return left > 2*shortLease
 }
 
-// keptApart reports whether patient work stays off a worker for the sake of the
-// pressing work there. A preference alone does not do it: patient work, of which
-// there is the most, takes whatever hole is left, so that before long all workers
-// have long leases.
+// keptApart reports whether a deferrable step must avoid a worker because of the pressing
+// work there. A lower score is not enough: most work is deferrable and would fill all
+// remaining room, and soon all workers would have long leases.
 func (s *Scheduler) keptApart(st *step, w *worker) bool {
 	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
 		return false
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -9,29 +9,29 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// urgentRun is how long the tasks of urgentJob run.
+// urgentRun is the run time of the tasks of urgentJob.
 const urgentRun = 600 * time.Millisecond
 
-// urgentJob is a small job that is late after 1.15 s and worth nothing after three
-// times that.
+// urgentJob returns a small job that is late after 1.15 s and worthless after three times
+// that.
 func urgentJob(id string) *record.Job {
 	j := oneStep(id, &record.Step{Count: 1, EstimateMs: urgentRun.Milliseconds(), Request: &record.Resources{MilliCpu: 1000, MemoryMib: 100}})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 1.5, TargetLatencyMs: 250}
 	return j
 }
 
-// urgentUseless is when an urgentJob is worth nothing any more.
+// urgentUseless is the time after which an urgentJob is worthless.
 const urgentUseless = 3 * (urgentRun*3/2 + 250*time.Millisecond)
 
-// slowJob has time: its objective is 14 s.
+// slowJob returns a deferrable job with an objective of 14 s.
 func slowJob(id string, tasks int32) *record.Job {
 	j := oneStep(id, &record.Step{Count: tasks, EstimateMs: 2700, Request: &record.Resources{MilliCpu: 1000, MemoryMib: 100}})
 	j.Policy = &record.Policy{Service: "svc", Priority: 2, MaxAttempts: 3, Stretch: 4, TargetLatencyMs: 3000}
 	return j
 }
 
-// mixedWorld has both kinds of work on workers of 16 cores. Its leader has led for
-// longer than leases of a predecessor could last, which count as the longest.
+// mixedWorld returns a world for both kinds of jobs with workers of 16 cores. Its leader has
+// led for longer than the leases of an earlier one can last, as those count as the longest.
 func mixedWorld(t *testing.T, workers int) *world {
 	w := newWorld(t, 1)
 	for i := range workers {
@@ -48,11 +48,11 @@
 	return w
 }
 
-// Zone after zone is cut off from the leader for 6 s while urgent work of a second
-// and slow work are running. The callers of the urgent work behind the cut need it
-// within three seconds, so that it has to run again elsewhere long before the cut
-// is over; with leases as long as the cut they all had it too late. The pattern is
-// urgent jobs that come at a steady rate beside a region full of slow ones.
+// Guards against urgent tasks that are held on unreachable workers until they are worthless.
+// Two workers are cut off by a network partition of a zone for 6 s, while urgent jobs arrive
+// at a steady rate in a region full of slow ones. Urgent tasks of a second are needed within
+// three seconds and must run again elsewhere long before the partition ends; with leases as
+// long as the partition, all were too late.
 func TestUrgentWorkIsRunAgainWhileItsWorkerIsCutOff(t *testing.T) {
 	w := mixedWorld(t, 8)
 	done := make(map[string]time.Duration)
@@ -76,12 +76,12 @@
 	for i, from := range at {
 		id := fmt.Sprintf("u%d", i)
 		if end, ok := done[id]; !ok || end-from > urgentUseless {
-			t.Errorf("job %s was handed in at %v and completed after %v", id, from-time.Hour, end-from)
+			t.Errorf("job %s was submitted at %v and completed after %v", id, from-time.Hour, end-from)
 		}
 	}
 }
 
-// noteDone notes when jobs are seen to be completed.
+// noteDone adds the newly completed jobs to done, with the present time.
 func noteDone(w *world, done map[string]time.Duration) {
 	for id, s := range w.states {
 		if _, known := done[id]; s == StateCompleted && !known {
@@ -90,8 +90,8 @@
 	}
 }
 
-// A worker with slow work is cut off for 5 s. That work has time and would lose all
-// it has done: it must not be run anew, but be there when the cut is over.
+// Guards against restarting slow tasks, which would lose their progress, when their worker
+// is unreachable for 5 s. They must continue and be listed after the partition.
 func TestSlowWorkOutlivesACut(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return 8 * time.Second }
@@ -109,9 +109,9 @@
 	}
 }
 
-// Slow work fills every hole of a region, so that urgent work would soon share each
-// worker with it and have to bear its long leases. It keeps off workers with urgent
-// work while it has time and there is other room, and takes any room afterwards.
+// Guards against slow tasks that fill all remaining room, so that urgent ones soon share
+// every worker with them and get their long leases. Slow tasks avoid workers with urgent
+// ones while they have slack and there is other room, and use any room afterwards.
 func TestSlowWorkKeepsOffUrgentWork(t *testing.T) {
 	w := mixedWorld(t, 4)
 	for i := range 100 {
@@ -129,8 +129,8 @@
 	w.mustComplete("rest")
 }
 
-// Slow work on a worker has just ended. Its lease is still a long one, which urgent
-// work there would have to bear; a worker beside it, as idle, has a short one.
+// Guards against an urgent task on a worker whose lease is still a long one because a slow
+// task there has just ended, while another idle worker has a short lease.
 func TestUrgentWorkAvoidsLeasesLeftBehind(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return time.Second }
@@ -146,12 +146,12 @@
 	w.submitTo(urgentJob("u"), "urgent")
 	w.run(50 * time.Millisecond)
 	if n := len(w.workers[left].runs); n > 0 {
-		t.Errorf("urgent work started on %s, whose lease is long", left)
+		t.Errorf("an urgent task started on %s, whose lease is long", left)
 	}
 }
 
-// Callers declare run times that are far too long. Urgent work with such a
-// declaration is as urgent as the rest of its queue and gets its short lease.
+// Guards against a long lease for an urgent task whose declared run time is far too long. It
+// is as urgent as the other tasks of its queue and gets a short lease.
 func TestDeclaredTimesDoNotMakeUrgentWorkPatient(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
@@ -164,14 +164,14 @@
 	w.run(50 * time.Millisecond)
 	r := w.sched.jobs["u-long"].occs[0].steps[0].tasks[0].run
 	if r == nil || !r.pressing {
-		t.Error("the job's declared run time made it patient")
+		t.Error("the task is not pressing because of its declared run time")
 	}
 }
 
-// A worker is cut off while urgent jobs come every 10 ms. Looks notice it after a
-// second; until then it is as idle as it gets and would draw job after job, each of
-// which is stuck until its lease is over. The first order without an answer is
-// enough to send the next ones elsewhere.
+// Guards against placing more tasks on an unreachable worker. Urgent jobs arrive every 10 ms.
+// Probes detect the worker after a second; until then it appears increasingly idle and
+// would get job after job, each stuck until its lease is over. After the first start without
+// an answer in time, the next jobs must go elsewhere.
 func TestOverdueAnswerStopsNewWork(t *testing.T) {
 	w := mixedWorld(t, 5)
 	urgent := func(i int) {
@@ -194,6 +194,6 @@
 	}
 	const allowed = int(leastOverdue/(10*time.Millisecond)) + 2
 	if n := len(w.sched.workers[least.entry.ID].runs); n > before+allowed {
-		t.Errorf("%d runs more went to a worker that answers nothing, want at most %d", n-before, allowed)
+		t.Errorf("%d more runs on a worker that does not answer, want at most %d", n-before, allowed)
 	}
 }
