--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -7,10 +7,9 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// A burst of work keeps the leader's processor busy, so that every answer waits.
-// Looks that go on at the pace of a calm day are half of its calls: starts and
-// advice wait behind them, run out of time and are made again, and the region
-// does not recover when the burst is over.
+// Guards against a leader that does not recover after a burst of work. The burst keeps its
+// processor busy, and every answer waits. Probes at their normal rate are half of its
+// calls: starts and calls for advice wait behind them, time out and are retried.
 func TestLooksArePacedWhileEventsWait(t *testing.T) {
 	pause := func(behind time.Duration) time.Duration {
 		s, now := backlog(1, 0, 0)
@@ -23,7 +22,7 @@
 				return h.After
 			}
 		}
-		t.Fatal("no further look")
+		t.Fatal("no further probe")
 		return 0
 	}
 	if got := pause(0); got != lookGap {
@@ -37,9 +36,9 @@
 	}
 }
 
-// The log takes 0.4 s for each append, for everyone. Work that is handed in between
-// two answers must not wait as if the log were gone: each append would then carry
-// what came in the first quarter of a second, and the rest would wait for the next.
+// Guards against treating a slow log as unavailable. Every append takes 0.4 s. If
+// assignments stopped after the fixed limit, each append would carry only the work of the
+// first quarter of a second, and the rest would wait for the next one.
 func TestSlowLogIsNotTakenForALostOne(t *testing.T) {
 	const append = 400 * time.Millisecond
 	s := New(testOptions())
@@ -57,9 +56,10 @@
 	}
 }
 
-// The leader's link is full. Looks, most of its calls, would keep it so: starts and appends
-// wait behind them, answers come too late, leases of pressing work lapse, and what lapsed is
-// sent again. Looks are paced as the link fills, and leases outlast the late ones.
+// Guards against a leader's link that stays full because of probes, most of its calls:
+// starts and appends wait behind them, answers are late, leases of pressing work lapse, and
+// lapsed runs are started again. Probes slow down as the link fills, and leases become long
+// enough for late renewals.
 func TestLooksArePacedWhileTheLinkIsFull(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := backlog(1, 0, 0)
@@ -77,9 +77,9 @@
 	}
 }
 
-// The leader's link takes no more. Work that is started all the same, and calls for advice,
-// fill it further, so that leases of what runs already are renewed too late. Nothing new is
-// started until the link is free again, and then it is.
+// Guards against starts and calls for advice over an overfull link of the leader, which
+// would delay the lease renewals of running tasks. Nothing is started until the link has
+// capacity again, and then it is.
 func TestNothingIsStartedOverAFullLink(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.linkLoad = 1.2
@@ -87,11 +87,11 @@
 	w.submitTo(slowJob("s1", 2), "slow")
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 0 {
-		t.Errorf("%d tasks are started over a full link", n)
+		t.Errorf("%d tasks are started over a full link, want 0", n)
 	}
 	w.linkLoad = 0.3
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 2 {
-		t.Errorf("%d tasks are started over the free link, want 2", n)
+		t.Errorf("%d tasks are started after the link was free again, want 2", n)
 	}
 }
--- a/region/look.go
+++ b/region/look.go
@@ -8,50 +8,53 @@
 )
 
 const (
-	// lookWait is how long a worker may wait for an end before it answers a
-	// look: longer saves looks, shorter notices a lost worker sooner.
+	// probeWait is how long a worker may wait for the end of a run before it answers a
+	// probe. A longer wait saves probes, a shorter one detects a lost worker sooner.
 	lookWait = 700 * time.Millisecond
-	// lossyWait is the same for a worker that missed a look within lossyFor: where
-	// answers get lost, a short wait finds it out sooner.
+	// lossyWait replaces probeWait for a worker that did not answer a probe within the
+	// last lossyWindow: where answers are lost, a short wait detects it sooner.
 	lossyWait = 150 * time.Millisecond
 	lossyFor  = 5 * time.Second
-	// lookGap is the pause between two looks at a worker with ends: several
-	// ends then share a look. A look costs about 1% of a small task's worth, and
-	// 100 ms are a sixth of the slack of the shortest tasks. A calm day has 11,300
-	// looks with 60 ms and 9,100 with 130 ms.
+	// probeGap is the shortest pause between two probes of a worker. It lets several
+	// ends share a probe, which costs about 1% of a small task's worth. 100 ms are a
+	// sixth of the slack of the shortest tasks. A day of low load has 11,300 probes with
+	// 60 ms and 9,100 with 130 ms.
 	lookGap = 100 * time.Millisecond
-	// pausePerBehind times as long as events wait for us is added to that pause, up
-	// to mostLookPause: looks are half of a leader's calls, and in a burst of
-	// work starts and advice would wait behind them.
+	// pausePerDelay times the mean delay of events in the leader is added to that pause,
+	// up to maxProbePause. Probes are half of a leader's calls, and in a burst of work
+	// starts and advice would wait behind them.
 	pausePerBehind = 8
 	mostLookPause  = 300 * time.Millisecond
-	// busyLink is the share of the link in use from which looks are paced too: the pause
-	// grows to mostLookPause at fullLink, where starts and appends would wait for looks.
+	// busyLink is the share of the leader's link in use above which the pause grows as
+	// well. It reaches maxProbePause at fullLink, where starts and appends would wait
+	// behind probes.
 	busyLink = 0.5
 	fullLink = 0.8
-	// overfullLink is the share from which nothing new is started: more is handed to the
-	// link than it carries, and renewals of what runs already would wait behind it.
+	// overfullLink is the share above which no task is started: the link is given more
+	// than it carries, and lease renewals of running tasks would wait behind starts.
 	overfullLink = 1.0
-	// behindMemory is over how many ticks, of 20 ms each, that is a running mean.
+	// delaySamples is the number of ticks, of 20 ms each, in the running mean of the
+	// delay of events.
 	behindMemory = 16
-	// lookRetry is the pause after a look that failed.
+	// probeRetry is the pause after a failed probe.
 	lookRetry = 150 * time.Millisecond
-	// maxEndsListed is how many ends a worker lists at most in one answer; a
-	// full list says nothing about runs that it does not name.
+	// maxEndsListed is the largest number of ends in one answer. A full list may be
+	// truncated, so a run that it does not name may still have an end.
 	maxEndsListed = 500
 )
 
-// look renews the worker's leases and reads what runs and what has ended. One
-// look at a time is under way, so that answers do not overtake each other.
+// probe sends a Hold call, which renews the worker's leases and reads which runs are
+// running and which have ended. One probe at a time is in flight for a worker, so that
+// answers arrive in order.
 func (s *Scheduler) look(w *worker, after time.Duration) {
 	if w.looking || !s.leading() || w.entry.Address == "" {
 		return
 	}
 	order := model.HoldOrder{Worker: w.ref(), Fence: s.fenceOf(w)}
-	// A worker that does not answer gets no longer lease until it does: each
-	// renewal may be carried out late, and what runs on a worker that is gone
-	// for good could never be taken for dead. A look that renews nothing and takes
-	// note of nothing also serves as the proof of its connection.
+	// After an unanswered probe, leases are not extended until the worker answers. Each
+	// renewal may be executed late, so that the runs of a worker that does not come back
+	// could never be declared lost. Such a probe renews and acknowledges nothing and only
+	// checks the connection.
 	if w.fenced && !w.missed {
 		order.AckedUpTo = w.acked
 		order.Wait = lookWait
@@ -101,9 +104,9 @@
 	s.lookAgain(w, s.lookPause())
 }
 
-// otherLife ends the life that is known of a worker, as another one answers in its
-// place. The worker gets no work until the host list tells of that one: it may be of
-// another kind or size.
+// otherIncarnation ends the known incarnation of a worker after another one has answered
+// in its place. The worker gets no work until the host list has an entry of the new
+// incarnation, which may differ in kind or size.
 func (s *Scheduler) otherLife(w *worker) {
 	if !w.fenced && !slices.ContainsFunc(w.runs, func(r *run) bool { return r.phase != phaseInDoubt }) {
 		return // known already
@@ -112,14 +115,14 @@
 	s.newLife(w)
 }
 
-// lookPause is the pause before the next look at a worker with ends.
+// probePause returns the pause before the next probe of a worker.
 func (s *Scheduler) lookPause() time.Duration {
 	const most = mostLookPause - lookGap
 	crowded := min(max(s.linkLoad-busyLink, 0)/(fullLink-busyLink), 1)
 	return lookGap + max(min(pausePerBehind*s.behind, most), time.Duration(crowded*float64(most)))
 }
 
-// lookAgain goes on looking, unless the worker left and holds nothing.
+// probeAgain sends the next probe, or removes a worker that has left and has no runs.
 func (s *Scheduler) lookAgain(w *worker, after time.Duration) {
 	if !w.listed && len(w.runs) == 0 {
 		s.forget(w)
@@ -132,7 +135,7 @@
 	w.clockMs, w.clockAt = ev.Hold.ClockMs, s.now
 	if !w.fenced {
 		w.fenced = true
-		// Whatever a predecessor granted ends within a whole lease from here.
+		// Leases granted by an earlier leader end within the longest lease from now.
 		w.leaseMs = max(w.leaseMs, ev.Hold.ClockMs+s.opts.MaxLease.Milliseconds())
 		s.dirty = true
 	}
@@ -188,17 +191,17 @@
 	}
 }
 
-// stopStray stops a run that nobody wants: an order that was carried out late,
-// or of a job that is over.
+// stopStray stops a run that is not wanted: its start was executed late, or its job is
+// over.
 func (s *Scheduler) stopStray(w *worker, id model.RunID) {
 	s.explain(id.Task.Job, "stray run stopped", Field{"worker", w.entry.ID}, Field{"run", id.Run}, Field{"step", id.Task.Step}, Field{"task", id.Task.Index})
 	s.emit(Stop{Order: model.StopOrder{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
 }
 
-// clearUnlisted settles runs that a look did not list although it was sent
-// after the worker had settled them. A member of a gang may be missing because
-// another member's end stands for all: the gang starts again only when every
-// member is settled, and that end is read before its own member is.
+// endUnlisted ends the runs that the answer to a probe does not list, if the probe was sent
+// after they were settled. A member of a gang may be missing because the end of another
+// member counts for all of them. The gang starts again only when every member is over, and
+// that end is applied before its own member is.
 func (s *Scheduler) clearUnlisted(w *worker, listed map[model.TaskID]bool, sentAt time.Duration) {
 	for _, r := range w.sortedRuns() {
 		if listed[r.task.id()] || !r.settledBefore(sentAt) {
--- a/region/overdue.go
+++ b/region/overdue.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// leastOverdue is how long an answer to an order may be out, at least, before
-	// its worker gets no further work: ten times what a sound worker takes.
+	// minOverdue is the shortest time without an answer to a start or stop call after
+	// which its worker gets no further work: ten times what a healthy worker takes.
 	leastOverdue = 50 * time.Millisecond
-	// overdueFactor is the same in usual times of an answer; with a busy processor
-	// all answers are late.
+	// overdueFactor is the same time in multiples of the mean answer time: when the
+	// leader's processor is busy, all answers are late.
 	overdueFactor = 8
-	// usualMemory is over how many answers the usual time is a running mean.
+	// answerSamples is the number of answers in the running mean of the answer time.
 	usualMemory = 32
 )
 
-// ordersOut holds, for each run on a worker, since when an order about it has had no
-// answer.
+// pendingOrders holds, for each run on a worker, the time of its oldest start or stop call
+// without an answer.
 //
-// The guard is against a worker that is gone or cut off: looks find it out after a
-// second, and meanwhile it looks sound and as idle as it gets. Each start that goes
-// there is stuck until its lease is over, and puts that off for all others there.
-// The first order that is not answered in time tells it at once.
+// The guard is against placing work on a worker that is lost or unreachable. Probes detect
+// that after a second; until then the worker appears healthy and increasingly idle. Each
+// start sent there is stuck until its lease is over, and extends the lease of all runs
+// there. The first call that is not answered in time shows it sooner.
 type ordersOut map[model.RunID]time.Duration
 
 func (o ordersOut) sent(id model.RunID, at time.Duration) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// overdue reports whether an order was sent before a time and has no answer.
+// overdue reports whether a call that was sent before a time has no answer.
 func (o ordersOut) overdue(before time.Duration) bool {
 	for _, at := range o {
 		if at < before {
@@ -42,8 +42,8 @@
 	return false
 }
 
-// orderAnswered notes how an order about a run ended. One without an answer stays
-// out: only a worker that answers gets new work.
+// orderAnswered removes a call that was answered from the pending ones. A call that timed
+// out or was not sent stays, as only a worker that answers gets new work.
 func (s *Scheduler) orderAnswered(ref model.WorkerRef, id model.RunID, err CallError) {
 	w, known := s.workers[ref.ID]
 	if !known || err == CallNoAnswer || err == CallNotSent {
@@ -55,7 +55,8 @@
 	}
 }
 
-// overdueBefore is the time before which an order must have been sent to be overdue.
+// overdueBefore returns the time such that calls sent before it without an answer are
+// overdue.
 func (s *Scheduler) overdueBefore() time.Duration {
 	return s.now - max(leastOverdue, overdueFactor*s.usualAnswer)
 }
