--- a/region/life_test.go
+++ b/region/life_test.go
@@ -8,8 +8,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// lateEntry runs a task of a minute in the second life of w1 and returns what w1 wrote
-// into the host list in its first life.
+// lateEntry runs a task of a minute in the second incarnation of w1 and returns the entry
+// that w1 wrote to the host list in its first one.
 func lateEntry(w *world) model.WorkerEntry {
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
@@ -24,14 +24,14 @@
 	return earlier
 }
 
-// A caller's task runs twice at once. Its worker was born again, and a write of its
-// first life into the host list is carried out only after that of the second one, in
-// which the task runs. The entry looks like a new life:
+// Guards against a task that runs twice at the same time. Its worker was restarted, and the
+// write of its first incarnation to the host list is executed only after that of the second
+// one, in which the task runs. The scheduler took the entry for a new incarnation:
 //
 //	worker has a new life  worker w1  runs_lost 1
 //	assigned               a          workers [w2]
 //
-// A life that answers looks is not over, whatever the list says.
+// An incarnation that answers probes is not over, whatever the list says.
 func TestEntryOfAnEarlierLifeComesLate(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
@@ -42,9 +42,9 @@
 	}
 }
 
-// The same with a leader that comes after that write: it finds the first life in the
-// host list, and a run that its predecessor assigned to the second one. That run is
-// alive until a look or the end of its lease says otherwise.
+// Guards against the same with a leader elected after that write: it reads the first
+// incarnation in the host list, and in the log a run assigned to the second one. That run
+// counts as alive until a probe or the end of its lease shows that it is over.
 func TestNewLeaderFindsAnEarlierLifeListed(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
@@ -62,8 +62,9 @@
 	}
 }
 
-// A worker's time of day has gone back before its next life, which is born earlier than
-// the one before by its own word. It gets work again: looks find the earlier life gone.
+// Guards against a worker that gets no more work after its time of day was set back, so that
+// its next incarnation has an earlier birth time. Probes find that the earlier incarnation
+// is over.
 func TestLifeBornBeforeTheEarlierOne(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 1)
@@ -80,9 +81,10 @@
 	w.mustComplete("a")
 }
 
-// A task ends as done in the old life of a worker, and the end is not taken note of; a
-// new leader finds the worker in its next life. The run is over with its life, and the
-// task runs again at once: its start was answered, so that none can come any more.
+// Guards against a wait for a late start that cannot happen. A run is assigned in the old
+// incarnation of a worker, no end of it is read, and a new leader finds the worker in its
+// next incarnation. The run is over, and the task runs again at once: its start was answered,
+// so that no start call of it can be executed any more.
 func TestInheritedRunOfAnEarlierLife(t *testing.T) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
@@ -96,6 +98,6 @@
 	w.lead()
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
-		t.Errorf("%d runs in the next life, want 1", n)
+		t.Errorf("%d runs in the next incarnation, want 1", n)
 	}
 }
--- a/region/replay.go
+++ b/region/replay.go
@@ -5,7 +5,7 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// replay applies what earlier leaders kept.
+// replay applies the log entries of earlier leaders.
 func (s *Scheduler) replay(entries []*record.Entry) {
 	for _, e := range entries {
 		switch k := e.Kind.(type) {
@@ -21,8 +21,8 @@
 	}
 }
 
-// find returns a task, creating the occurrences up to its own: an occurrence
-// that was assigned was due.
+// findTask returns the task with the id, or nil if there is none. It creates the
+// occurrences of the job up to that of the task: one that was assigned was due.
 func (s *Scheduler) find(id model.TaskID) *task {
 	j, known := s.jobs[id.Job]
 	if !known || int(id.Step) >= len(j.rec.Steps) || id.Occurrence >= max(j.rec.RepeatCount, 1) {
@@ -65,7 +65,7 @@
 	}
 	t.lastRun = max(t.lastRun, e.Run)
 	if e.Outcome != record.Outcome_OUTCOME_LOST {
-		t.step.job.begun = true // a run that is lost may never have begun
+		t.step.job.begun = true // a lost run may never have begun
 	}
 	s.countEnd(t, e.Run, e.Outcome, e.Checkpoint)
 }
@@ -94,11 +94,11 @@
 	}
 }
 
-// rewriteOld writes live jobs again before their records expire. Without it a
-// long-running job would be forgotten by the next leader once the retention of
-// the log is over.
+// rewriteOld appends snapshots of live jobs to the log before their records expire.
+// Without them, the next leader would not know of a job that runs for longer than the
+// retention of the log.
 func (s *Scheduler) rewriteOld() {
-	const perTick = 4 // spreads the records of many old jobs
+	const perTick = 4 // spreads the snapshots of many old jobs
 	for written := 0; written < perTick && len(s.written) > 0; {
 		j := s.written[0]
 		if s.now-j.writtenAt < s.opts.LogRetention/2 {
@@ -116,6 +116,7 @@
 	}
 }
 
+// keptJob returns a snapshot of the job.
 func keptJob(j *job) *record.Kept {
 	k := &record.Kept{Job: j.rec, Cancelled: j.cancelled}
 	for _, occ := range j.occs {
--- a/region/run.go
+++ b/region/run.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// startTries is how often a start without an answer is sent before it is
+	// maxStartAttempts is how often a start is sent without an answer before the run is
 	// stopped instead.
 	startTries = 4
 	// startRetry is the pause before a start is sent again.
@@ -19,16 +19,16 @@
 	stopRetry = 300 * time.Millisecond
 )
 
-// phase is how far a run is.
+// phase is the state of a run.
 type phase int
 
 const (
-	phaseLogging   phase = iota // its record is on its way to the log
-	phaseSending                // its start is on its way to the worker
+	phaseLogging   phase = iota // its record is being appended to the log
+	phaseSending                // its start call is in flight
 	phaseRunning                // the worker has it
-	phaseStopping               // a stop is on its way to the worker
+	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseInDoubt                // over as far as is known, but a start of it may come late
+	phaseInDoubt                // reported as over, but a start call may still be executed
 )
 
 // run is one run of a task that may be alive.
@@ -36,33 +36,35 @@
 	task      *task
 	number    int32
 	worker    *worker
-	ref       model.WorkerRef // the worker's life that it was assigned to
+	ref       model.WorkerRef // the worker, and its incarnation, that it was assigned to
 	phase     phase
 	room      model.Resources
-	pressing  bool // counted as such among its worker's runs
+	pressing  bool // counted as pressing in its worker's runCounts
 	ticket    string
 	assigned  time.Duration
 	startedAt time.Duration // when the worker was known to have it
 	endsAt    time.Duration // when it is expected to end
 	leaseTo   int64         // end of the lease that its start grants, on the worker's clock
-	maybeSent bool          // a start got no answer: it may be carried out yet
-	settledAt time.Duration // a look sent later that does not list it proves that it is over; 0 for not settled
+	maybeSent bool          // a start got no answer and may still be executed
+	settledAt time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
 	tries     int
-	calls     startCalls // that asked for it
+	calls     startCalls
 	percent   int
 	movedAt   time.Duration // when percent last changed
 }
 
-// target returns where orders about the run go. Its worker's address may have
-// become known only after the run was inherited.
+// target returns the worker to which calls about the run are sent. The address is that of
+// the worker's entry, which may be read only after the run was inherited.
 func (r *run) target() model.WorkerRef {
 	return model.WorkerRef{ID: r.ref.ID, Address: r.worker.entry.Address, BornUnix: r.ref.BornUnix}
 }
 
+// settledBefore reports whether the run is over if a probe that was sent then does not
+// list it.
 func (r *run) settledBefore(sentAt time.Duration) bool {
 	if r.phase == phaseInherited {
-		// The worker has seen our fencing token with the first look, so that no
-		// start of a predecessor can arrive any more.
+		// The first probe has brought this leader's fencing token to the worker, which
+		// refuses starts of earlier leaders since.
 		return true
 	}
 	return r.settledAt > 0 && sentAt > r.settledAt
@@ -81,8 +83,8 @@
 	return out
 }
 
-// room returns what a task of the step takes from a worker. A step that fills
-// takes the processors that others leave.
+// room returns the resources that a task of the step reserves on a worker. A step with
+// Fills reserves no CPU and uses what others leave idle.
 func (st *step) room() model.Resources {
 	r := st.request
 	if st.rec.Fills {
@@ -91,7 +93,7 @@
 	return r
 }
 
-// occupy counts a run as alive.
+// occupy counts a run and its resources on its worker and in its workspace.
 func (s *Scheduler) occupy(r *run) {
 	t := r.task
 	r.room = t.step.room()
@@ -105,7 +107,7 @@
 	s.used[ws] = s.used[ws].Add(t.step.request)
 }
 
-// release counts a run as over.
+// release reverses occupy for a run that is over.
 func (s *Scheduler) release(r *run) {
 	t := r.task
 	if t.run != r {
@@ -121,8 +123,8 @@
 	s.dirty = true
 }
 
-// assign gives a waiting task to a worker. The start is sent once the record is
-// kept, so that a successor knows of whatever may run.
+// assign places a waiting task on a worker. The start is sent once the assignment is in the
+// log, so that the next leader knows every run that may be alive.
 func (s *Scheduler) assign(t *task, w *worker, number int32) {
 	r := &run{task: t, number: number, worker: w, ref: w.ref(), phase: phaseLogging, assigned: s.now}
 	if mark := t.step.advice.mark(w); mark != nil {
@@ -134,21 +136,21 @@
 	s.afterKept(s.recordAssigned(r), func() { s.sendStart(r, 0) })
 }
 
-// recordAssigned keeps in which life of a worker a run may be alive.
+// recordAssigned appends the worker and its incarnation on which a run may be alive.
 func (s *Scheduler) recordAssigned(r *run) int64 {
 	return s.append(&record.Entry{Kind: &record.Entry_Assigned{Assigned: &record.Assigned{
 		Task: r.task.id().Record(), Run: r.number, Worker: r.ref.ID, BornUnixMs: r.ref.BornUnix,
 	}}})
 }
 
-// sendStart sends the start of a run. A repeat grants no longer lease than the
-// first: on a worker that does not answer, each longer one would put off the time
-// at which the run is over for certain.
+// sendStart sends the start of a run. A retry grants the lease of the first attempt: on a
+// worker that does not answer, each longer lease would defer the time at which the run is
+// known to be over.
 func (s *Scheduler) sendStart(r *run, after time.Duration) {
 	if r.task.run != r || (r.phase != phaseLogging && r.phase != phaseSending) {
 		return
 	}
-	// The log may have taken longer than the ticket lasts: the worker would
+	// The append may have taken longer than the ticket is valid, and the worker would
 	// refuse the start.
 	if r.phase == phaseLogging && !r.task.step.ticketHolds(r.worker, s.now) {
 		s.abandon(r, "its ticket expired before its record was kept")
@@ -172,7 +174,8 @@
 	}})
 }
 
-// current returns the run that an answer is about, if it is still wanted.
+// currentRun returns the run that an answer is about, or nil if it is no longer the task's
+// run on that worker.
 func (s *Scheduler) current(id model.RunID, ref model.WorkerRef) *run {
 	t := s.find(id.Task)
 	if t == nil || t.run == nil || t.run.number != id.Run || t.run.ref.ID != ref.ID {
@@ -192,7 +195,7 @@
 		return
 	}
 	if r.phase == phaseInDoubt && ev.Err == CallOK {
-		return // a later life has it: a look will list it
+		return // a later incarnation has the run, and a probe will list it
 	}
 	r.calls.answered(ev.Err)
 	if r.phase != phaseSending {
@@ -240,7 +243,7 @@
 	s.giveUp(r, "its worker did not answer")
 }
 
-// confirm notes that the worker has the run.
+// confirm marks the run as running on its worker.
 func (s *Scheduler) confirm(r *run) {
 	r.phase = phaseRunning
 	r.startedAt = s.now
@@ -257,10 +260,10 @@
 	}
 }
 
-// giveUp ends a run that did not start. One that may have been sent is stopped
-// instead: the stop makes the worker refuse it if it comes later. Of a gang, the other
-// members are stopped at once: without it they would wait, and hold their room, until
-// the stop is settled.
+// abortStart ends a run that did not start. If a start call may still be executed, the run
+// is stopped instead: after a stop, the worker refuses a late start of the run. The other
+// members of a gang are stopped at once. Otherwise they would wait, and keep their room,
+// until the stop is settled.
 func (s *Scheduler) giveUp(r *run, why string) {
 	if r.maybeSent {
 		s.stopRun(r, why)
@@ -270,7 +273,7 @@
 	s.abandon(r, why)
 }
 
-// stopRun orders the end of a run. Its room is free when the end is listed.
+// stopRun sends a stop for a run. Its room is released when the worker lists the end.
 func (s *Scheduler) stopRun(r *run, why string) {
 	if r.phase == phaseStopping || r.phase == phaseInDoubt {
 		return
--- a/region/worker.go
+++ b/region/worker.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// reachable is how old the newest answered look of a worker may be for new
-	// work to go there: a wait and a round trip, with one lost answer.
+	// maxProbeAge is the largest age of a worker's newest answered probe for which new
+	// work is placed there: a wait and a round trip, with one lost answer.
 	reachable = 1500 * time.Millisecond
-	// unhealthyPause is how long a worker that refused an order for its own
-	// state gets no further ones.
+	// unhealthyPause is how long a worker that refused a start because of its own state
+	// gets no new work.
 	unhealthyPause = 500 * time.Millisecond
 )
 
-// worker is what is believed of one worker.
+// worker is the leader's state of one worker.
 type worker struct {
 	entry       model.WorkerEntry
 	listed      bool
-	slot        int             // index of the worker in the marks of steps
-	runs        []*run          // what may be alive there
-	used        model.Resources // of all that may be alive there
-	counts      runCounts       // of the same
+	slot        int             // index of the worker in adviceState.marks
+	runs        []*run          // runs that may be alive there
+	used        model.Resources // resources of runs
+	counts      runCounts       // kinds of runs
 	clockMs     int64           // its clock as last read
-	clockAt     time.Duration   // when that was
-	leaseMs     int64           // end of the longest lease we may have granted, on its clock
-	inherited   time.Duration   // until when leases of a predecessor may last
-	fenced      bool            // it has answered under our fencing token
-	looking     bool            // a look is under way
-	missed      bool            // the newest look got no answer
-	lossyTo     time.Duration   // it has missed a look not long before this
-	lookedAt    time.Duration   // when the newest answered look was sent
-	lives       int64           // how many lives we have seen end
-	lastEnd     int64           // highest end processed
-	acked       int64           // highest end whose record is kept
-	pausedTo    time.Duration   // no new work before
-	orders      ordersOut       // without an answer yet
-	overdue     bool            // one of them is out for too long, as of the newest pass
+	clockAt     time.Duration   // time of that reading
+	leaseMs     int64           // end of the longest lease that may have been granted, on its clock
+	inherited   time.Duration   // latest end of leases granted by an earlier leader
+	fenced      bool            // it has answered a probe with the present fencing token
+	looking     bool            // a probe is in flight
+	missed      bool            // the newest probe got no answer
+	lossyTo     time.Duration   // lossyWait applies before this time
+	lookedAt    time.Duration   // when the newest answered probe was sent
+	lives       int64           // number of incarnations that have ended
+	lastEnd     int64           // highest number of an end that was applied
+	acked       int64           // highest number of an end whose record is in the log
+	pausedTo    time.Duration   // no new work before this time
+	orders      ordersOut       // start and stop calls without an answer
+	overdue     bool            // one of them is overdue, as of the newest pass
 	health      health
 	speed       speed
-	reserved    *step           // a gang that collects room here
-	kept        *step           // a further gang that collects room here, before late work
-	wasReserved *step           // either, in the pass before
-	claimed     model.Resources // room that steps ask tickets for, in this pass
+	reserved    *step           // gang for which room is reserved here
+	kept        *step           // further gang for which room is reserved here against late work only
+	wasReserved *step           // reserved or kept in the previous pass
+	claimed     model.Resources // room for which steps request tickets in this pass
 }
 
 func (w *worker) ref() model.WorkerRef {
@@ -53,12 +53,12 @@
 
 func (w *worker) free() model.Resources { return w.entry.Capacity.Sub(w.used) }
 
-// clock estimates the worker's clock.
+// clock estimates the worker's clock at a time, in milliseconds.
 func (w *worker) clock(now time.Duration) int64 {
 	return w.clockMs + (now - w.clockAt).Milliseconds()
 }
 
-// lapsesAt returns when nothing that was leased there can be alive any more.
+// lapsesAt returns the time after which no run can be alive under a lease granted there.
 func (w *worker) lapsesAt() time.Duration {
 	if !w.fenced {
 		return w.inherited
@@ -67,8 +67,8 @@
 	return w.clockAt + time.Duration(float64(left)/(1-clockDrift)) + lapseMargin
 }
 
-// workerNamed returns the worker with that id, also one that is not listed:
-// a run of a predecessor may be alive there.
+// workerNamed returns the worker with the id, and creates it if it is unknown: runs of an
+// earlier leader may be alive on a worker that is not listed.
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
@@ -82,13 +82,14 @@
 	return w
 }
 
-// takeOver bounds the leases that a predecessor may have granted.
+// takeOver sets the latest end of the leases that an earlier leader may have granted the
+// worker, and sends the first probe.
 func (s *Scheduler) takeOver(w *worker) {
 	w.inherited = s.leadSince + logProofLife + s.maxLease() + lapseMargin
 	s.look(w, 0)
 }
 
-// maxLease is the longest that a lease may last by our clock.
+// maxLease returns the longest duration of a lease on the leader's clock.
 func (s *Scheduler) maxLease() time.Duration {
 	return time.Duration(float64(s.opts.MaxLease) / (1 - clockDrift))
 }
@@ -117,14 +118,14 @@
 	s.look(w, 0)
 }
 
-// outdated reports whether an entry of the host list is of an earlier life than the
-// one that is known, from a later entry or from a run that was assigned to it.
+// outdated reports whether an entry of the host list belongs to an earlier incarnation
+// than the known one, which is known from a later entry or from a run assigned to it.
 //
-// The guard is against a worker's write that is carried out after its next life has
-// written its own. Taken for a new life, it would end runs that are alive, and their
-// tasks would run twice. Should the worker's time of day have gone back instead, a
-// look finds the known life gone, or its leases end, and the entry counts when it
-// comes again.
+// The guard is against a worker's write that is executed after its next incarnation has
+// written its own entry. If it were applied as a new incarnation, live runs would be ended
+// and their tasks would run twice. If the worker's time of day was set back instead, a
+// probe finds that the known incarnation is over, or its leases end, and the entry is
+// accepted when it is read again.
 func (w *worker) outdated(e model.WorkerEntry) bool {
 	if e.BornUnix < w.entry.BornUnix && w.fenced && !w.missed {
 		return true
@@ -132,23 +133,23 @@
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.ref.BornUnix > e.BornUnix })
 }
 
-// endPredecessorAt ends the runs of a worker that had the address before: a
-// new life holds nothing of the old one, under whatever id.
+// endPredecessorAt ends the runs of a worker that had the entry's address before: the new
+// process has no runs of the old one, whatever its id.
 func (s *Scheduler) endPredecessorAt(e model.WorkerEntry) {
 	for _, w := range s.order {
 		if w.entry.Address != e.Address || w.entry.ID == e.ID || w.entry.BornUnix >= e.BornUnix {
 			continue
 		}
 		for _, r := range w.runs {
-			r.calls.settle() // what names the earlier id is refused there
+			r.calls.settle() // the new process refuses calls that name the earlier id
 		}
 		s.newLife(w)
 		w.listed = false
 	}
 }
 
-// loseEarlierRuns ends the runs that belong to earlier lives of the worker, also those
-// that a predecessor assigned.
+// endEarlierRuns ends the runs of other incarnations of the worker, including those that
+// an earlier leader assigned.
 func (s *Scheduler) loseEarlierRuns(w *worker) {
 	for _, r := range w.sortedRuns() {
 		if r.ref.BornUnix != w.entry.BornUnix {
@@ -157,8 +158,9 @@
 	}
 }
 
-// newLife ends all that is known of a worker's life: another one has begun, here or
-// at its address.
+// endIncarnation ends the runs of the worker's incarnation and resets its state, after
+// another incarnation has begun, under the same id or at the same address. The log messages
+// call an incarnation a life.
 func (s *Scheduler) newLife(w *worker) {
 	for _, r := range w.sortedRuns() {
 		s.abandon(r, "its worker has a new life")
@@ -171,14 +173,15 @@
 	w.speed = speed{}
 }
 
-// livesBits is how many bits of a fencing token count a worker's lives.
+// incarnationBits is the number of low bits of a fencing token that hold the worker's
+// incarnation count.
 const livesBits = 16
 
-// fenceOf returns the fencing token of orders to a worker. It rises with each
-// leader, and with each new life of the worker under the same id. Orders to the
-// earlier life end with its connections (package lifeconn); should something on the way
-// deliver one to the new life all the same, that refuses it from its first answered look
-// on. What comes before that look is the matter of inDoubt.
+// fenceOf returns the fencing token of calls to a worker. It rises with each leader, and
+// with each new incarnation of the worker under the same id. Calls to an earlier
+// incarnation end with its connections (package lifeconn). If the network delivers one to
+// the new incarnation nevertheless, that refuses it once it has answered its first probe;
+// mayStartLate covers starts that arrive before.
 func (s *Scheduler) fenceOf(w *worker) int64 { return s.fence<<livesBits | w.lives }
 
 func (s *Scheduler) workerUnlisted(id string) {
@@ -190,7 +193,7 @@
 	s.explain("", "worker unlisted", Field{"worker", id}, Field{"runs", len(w.runs)})
 }
 
-// forget drops a worker that left and holds nothing.
+// forget removes a worker that has left and has no runs.
 func (s *Scheduler) forget(w *worker) {
 	delete(s.workers, w.entry.ID)
 	s.departed.add(w.entry.ID, w.lives+1, s.now)
@@ -204,23 +207,27 @@
 }
 
 const (
-	// congestedFor is how long after the link was full answers may be late because of it.
+	// congestedFor is how long after the leader's link was full answers may be late
+	// because of it.
 	congestedFor = time.Second
-	// congestedPatience bounds how long the end of a lease is not acted upon for it.
+	// maxExpiryDelay bounds for how long after the end of a lease its runs are kept because
+	// the link was full.
 	congestedPatience = 3 * time.Second
 )
 
-// delayedByLink reports whether a worker may be silent because our own link is full.
+// delayedByLink reports whether a worker's answers may be missing because the leader's own
+// link is full.
 //
-// The guard is against a task that runs again when it is done: the worker has listed the
-// end, and the answer that tells of it waits in the link behind our other calls, until the
-// lease is over. It holds for as long as answers usually wait there, and costs nothing
-// where the link is not full.
+// The guard is against a task that runs again after it was done: the worker has listed the
+// end, but the answer is queued in the link behind the leader's other traffic until the
+// lease is over. The guard lasts for as long as answers usually wait there, and has no
+// effect while the link is not full.
 func (s *Scheduler) delayedByLink(w *worker) bool {
 	return s.fullAt > 0 && s.now-s.fullAt < congestedFor && s.now < w.lapsesAt()+congestedPatience
 }
 
-// expireRuns ends the runs on workers whose leases are over for certain.
+// expireRuns ends the runs on workers whose leases are over even with the largest clock
+// drift, and removes workers that have left and have no runs.
 func (s *Scheduler) expireRuns() {
 	for i := len(s.order) - 1; i >= 0; i-- {
 		w := s.order[i]
