--- a/region/advice.go
+++ b/region/advice.go
@@ -14,22 +14,22 @@
 	maxAsked = 100
 	// minAdviceWorkers is the smallest limit on the workers in one call. Workers with
 	// room come first; further calls name more if these are not enough.
-	fewAsked = 12
+	minAdviceWorkers = 12
 	// adviceWorkersPerTask is how many workers a call names for each task: a third to
 	// two thirds of the workers are eligible, and some fill up before the answer.
-	askedPerTask = 4
+	adviceWorkersPerTask = 4
 	// adviceRetryPause is the backoff of a step after a failed call for advice.
-	adviceRetry = 200 * time.Millisecond
+	adviceRetryPause = 200 * time.Millisecond
 )
 
 // adviceState holds the answers of the advice service about the workers for a step.
 type adviceState struct {
-	marks   []adviceMark // by the worker's slot
-	known   int          // number of workers with an answer
-	good    []*worker    // those of them that may run the step
-	asking  bool
-	firstAt time.Duration // time of the first answer
-	retryAt time.Duration
+	marks    []adviceMark // by the worker's slot
+	known    int          // number of workers with an answer
+	good     []*worker    // those of them that may run the step
+	inFlight bool
+	firstAt  time.Duration // time of the first answer
+	retryAt  time.Duration
 }
 
 // adviceMark is the advice service's answer about one worker. The set of workers that
@@ -111,8 +111,8 @@
 func (s *Scheduler) wantAdvice(st *step) {
 	if st.advised() {
 		room := s.claimRoom(st)
-		if s.canAsk(st) {
-			s.ask(st, room)
+		if s.canRequestAdvice(st) {
+			s.requestAdvice(st, room)
 		}
 	}
 }
@@ -120,16 +120,16 @@
 // requestFirstAdvice requests advice for a step that has none and no room yet, if a
 // host's backlog at the advice service permits it.
 func (s *Scheduler) wantFirstAdvice(st *step) {
-	if st.advised() && st.advice.known == 0 && s.canAsk(st) {
-		s.ask(st, false)
+	if st.advised() && st.advice.known == 0 && s.canRequestAdvice(st) {
+		s.requestAdvice(st, false)
 	}
 }
 
 // canRequestAdvice reports whether a call about the step could be sent now, and notes
 // what blocks it. It checks the longest possible call, which is accepted wherever a
 // shorter one is. With all hosts busy, no list of workers is built.
-func (s *Scheduler) canAsk(st *step) bool {
-	if st.advice.asking || s.now < st.advice.retryAt {
+func (s *Scheduler) canRequestAdvice(st *step) bool {
+	if st.advice.inFlight || s.now < st.advice.retryAt {
 		return false
 	}
 	if s.linkLoad > fullLink && !st.pressing {
@@ -137,7 +137,7 @@
 		s.dirty = true
 		return false
 	}
-	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.mostAsked()), s.now) == nil {
+	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.maxWorkersPerCall()), s.now) == nil {
 		st.blocked = "advice backlog"
 		s.dirty = true
 		return false
@@ -149,22 +149,22 @@
 // is at least the number that doubles the service time of the call: in a full region, a
 // step with few eligible workers finds no room on them and requests advice repeatedly,
 // and each call costs the leader as much as a start.
-func (st *step) mostAsked() int {
+func (st *step) maxWorkersPerCall() int {
 	if st.rec.Gang {
 		return maxAsked
 	}
-	most := max(fewAsked, askedPerTask*len(st.tasks))
+	most := max(minAdviceWorkers, adviceWorkersPerTask*len(st.tasks))
 	if a := st.job.rec.Policy.GetAdvice(); a.GetEachMs() > 0 {
 		most = max(most, int(a.GetDecideMs()/a.GetEachMs()))
 	}
 	return min(maxAsked, most)
 }
 
-func (s *Scheduler) ask(st *step, room bool) {
+func (s *Scheduler) requestAdvice(st *step, room bool) {
 	if st.advice.known > 0 && !room {
 		return
 	}
-	names := s.adviceWanted(st)
+	names := s.workersToAsk(st)
 	if len(names) == 0 {
 		return
 	}
@@ -175,11 +175,11 @@
 		s.dirty = true
 		return
 	}
-	st.advice.asking = true
+	st.advice.inFlight = true
 	call := Advise{
 		Host: host.name, Job: st.job.rec.Id, Occurrence: st.occ.k, Step: st.index, Workers: names, Expected: cost,
 	}
-	call.Timeout = host.ask(call.about(), cost, s.now)
+	call.Timeout = host.enqueue(call.stepKey(), cost, s.now)
 	s.emit(call)
 }
 
@@ -196,7 +196,7 @@
 	if st.rec.Gang {
 		need = len(st.tasks)
 	}
-	ahead := st.adviceCost(len(s.order)) + adviceMargin
+	answerTime := st.adviceCost(len(s.order)) + adviceMargin
 	found := 0
 	for _, w := range s.usableNow {
 		if found >= want {
@@ -207,7 +207,7 @@
 		}
 		room := w.free().Sub(w.claimed)
 		if w.reserved == st || w.kept == st || len(w.runs) > 0 && st.rec.Gang {
-			room = room.Add(s.freedWithin(w, ahead))
+			room = room.Add(s.freedWithin(w, answerTime))
 		}
 		if n := min(timesIn(st.room(), room), want-found); n > 0 {
 			w.claimed = w.claimed.Add(st.room().Times(int64(n)))
@@ -225,10 +225,10 @@
 
 // workersToAsk returns the workers to name in a call now: eligible ones whose tickets
 // expire and those without an answer. Workers with room come first.
-func (s *Scheduler) adviceWanted(st *step) []string {
+func (s *Scheduler) workersToAsk(st *step) []string {
 	var roomy, full []string
 	stale, unknown := 0, 0
-	soonest := s.now + st.adviceCost(len(s.order)) + adviceMargin
+	neededUntil := s.now + st.adviceCost(len(s.order)) + adviceMargin
 	for _, w := range s.order {
 		if !w.listed || w.entry.Draining || !s.suits(st, w) {
 			continue
@@ -237,7 +237,7 @@
 		switch {
 		case m == nil:
 			unknown++
-		case m.good && m.until < soonest:
+		case m.good && m.until < neededUntil:
 			stale++
 		default:
 			continue
@@ -253,31 +253,31 @@
 		return nil
 	}
 	names := append(roomy, full...)
-	return names[:min(len(names), st.mostAsked())]
+	return names[:min(len(names), st.maxWorkersPerCall())]
 }
 
 // noteAdviceCall updates the backlog of the host through which the call was sent.
-func (s *Scheduler) noteAdviser(ev Advised) {
+func (s *Scheduler) noteAdviceCall(ev Advised) {
 	switch {
 	case !ev.Failed:
-		s.advisers.answered(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.answered(ev.Order.Host, ev.Order.stepKey(), s.now)
 	case ev.NotSent:
-		s.advisers.notAsked(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.notSent(ev.Order.Host, ev.Order.stepKey(), s.now)
 	default:
-		s.advisers.unanswered(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.unanswered(ev.Order.Host, ev.Order.stepKey(), s.now)
 	}
 }
 
 func (s *Scheduler) advised(ev Advised) {
-	s.noteAdviser(ev)
+	s.noteAdviceCall(ev)
 	t := s.find(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
 	if t == nil {
 		return
 	}
 	st := t.step
-	st.advice.asking = false
+	st.advice.inFlight = false
 	if ev.Failed {
-		st.advice.retryAt = s.now + adviceRetry
+		st.advice.retryAt = s.now + adviceRetryPause
 		return
 	}
 	if st.advice.firstAt == 0 {
--- a/region/advisers.go
+++ b/region/advisers.go
@@ -10,8 +10,8 @@
 	// call may be added: minBacklogLimit, or backlogFactor times the call's service time
 	// if that is longer. Steps that wait here can still be reordered by urgency, calls
 	// queued at the service cannot.
-	leastBacklog = 60 * time.Millisecond
-	backlogShare = 1.2
+	minBacklogLimit = 60 * time.Millisecond
+	backlogFactor   = 1.2
 	// adviceSlack is added to the expected time of a call for advice to get its timeout.
 	adviceSlack = 1500 * time.Millisecond
 	// adviserPause is the backoff of a host after a failed call for advice.
@@ -20,8 +20,8 @@
 
 // advisers spreads calls for advice over hosts.
 type advisers struct {
-	hosts []*adviser
-	away  map[string]*adviser // hosts that left the list with a backlog or a pause
+	hosts    []*adviser
+	unlisted map[string]*adviser // hosts that left the list with a backlog or a pause
 }
 
 // adviser is a host through which advice is requested, with its queue at the advice
@@ -32,17 +32,17 @@
 // counted, the next one would be queued behind it and time out as well. It shows as calls
 // that fail at a steady rate while steps with advice wait and workers are idle.
 type adviser struct {
-	name     string
-	calls    []adviceCall  // calls that the service may still execute, oldest first
-	freeAt   time.Duration // estimate of when the service has executed them
-	pausedTo time.Duration // end of the backoff after a failed call
+	name        string
+	calls       []adviceCall  // calls that the service may still execute, oldest first
+	idleAt      time.Duration // estimate of when the service has executed them
+	pausedUntil time.Duration // end of the backoff after a failed call
 }
 
 // adviceCall is one call that is in flight or has timed out.
 type adviceCall struct {
-	step    adviceStep
-	cost    time.Duration
-	givenUp bool
+	step     adviceStep
+	cost     time.Duration
+	timedOut bool
 }
 
 // adviceStep identifies the step of a call.
@@ -51,52 +51,52 @@
 	occurrence, step int32
 }
 
-func (c Advise) about() adviceStep { return adviceStep{c.Job, c.Occurrence, c.Step} }
+func (c Advise) stepKey() adviceStep { return adviceStep{c.Job, c.Occurrence, c.Step} }
 
 // set replaces the list of hosts. The queue of a host that leaves the list is kept while it
 // is active, as the service continues to execute its calls.
 func (a *advisers) set(names []string, now time.Duration) {
-	known := a.away
-	a.away = make(map[string]*adviser)
+	known := a.unlisted
+	a.unlisted = make(map[string]*adviser)
 	for name, h := range known {
-		if h.matters(now) {
-			a.away[name] = h
+		if h.active(now) {
+			a.unlisted[name] = h
 		}
 	}
 	for _, h := range a.hosts {
-		a.away[h.name] = h
+		a.unlisted[h.name] = h
 	}
 	a.hosts = a.hosts[:0:0]
 	for _, name := range names {
-		h, ok := a.away[name]
+		h, ok := a.unlisted[name]
 		if !ok {
 			h = &adviser{name: name}
 		}
-		delete(a.away, name)
+		delete(a.unlisted, name)
 		a.hosts = append(a.hosts, h)
 	}
 }
 
 // active reports whether the host has a backlog or a pause to keep while it is not listed.
-func (h *adviser) matters(now time.Duration) bool {
-	return now < h.freeAt || now < h.pausedTo
+func (h *adviser) active(now time.Duration) bool {
+	return now < h.idleAt || now < h.pausedUntil
 }
 
 // backlog returns the longest time that the service may need for the host's calls. A call
 // in flight counts in full, as the time at which the service began it is not known.
 func (h *adviser) backlog(now time.Duration) time.Duration {
-	var underWay time.Duration
+	var inFlight time.Duration
 	for _, c := range h.calls {
-		if !c.givenUp {
-			underWay += c.cost
+		if !c.timedOut {
+			inFlight += c.cost
 		}
 	}
-	return max(underWay, h.freeAt-now)
+	return max(inFlight, h.idleAt-now)
 }
 
 // accepts reports whether a call with that service time may be added now.
-func (h *adviser) takes(cost, now time.Duration) bool {
-	return now >= h.pausedTo && h.backlog(now) <= max(leastBacklog, time.Duration(backlogShare*float64(cost)))
+func (h *adviser) accepts(cost, now time.Duration) bool {
+	return now >= h.pausedUntil && h.backlog(now) <= max(minBacklogLimit, time.Duration(backlogFactor*float64(cost)))
 }
 
 // pick returns the host with the shortest backlog among those that accept a call of that
@@ -104,7 +104,7 @@
 func (a *advisers) pick(l lanes, queue string, cost, now time.Duration) *adviser {
 	var best *adviser
 	for _, h := range a.hosts[l.first(queue, len(a.hosts)):] {
-		if h.takes(cost, now) && (best == nil || h.backlog(now) < best.backlog(now)) {
+		if h.accepts(cost, now) && (best == nil || h.backlog(now) < best.backlog(now)) {
 			best = h
 		}
 	}
@@ -112,50 +112,50 @@
 }
 
 // enqueue adds a call to the backlog and returns its timeout.
-func (h *adviser) ask(step adviceStep, cost, now time.Duration) time.Duration {
-	if h.freeAt <= now {
-		h.calls = slices.DeleteFunc(h.calls, func(c adviceCall) bool { return c.givenUp })
+func (h *adviser) enqueue(step adviceStep, cost, now time.Duration) time.Duration {
+	if h.idleAt <= now {
+		h.calls = slices.DeleteFunc(h.calls, func(c adviceCall) bool { return c.timedOut })
 	}
-	h.freeAt = max(h.freeAt, now) + cost
+	h.idleAt = max(h.idleAt, now) + cost
 	h.calls = append(h.calls, adviceCall{step: step, cost: cost})
 	return h.backlog(now) + adviceSlack
 }
 
 // answered removes a call that the service has executed, and the calls before it.
 func (a *advisers) answered(name string, step adviceStep, now time.Duration) {
-	h, at := a.find(name, step)
+	h, at := a.findCall(name, step)
 	if at < 0 {
 		return
 	}
 	h.calls = h.calls[at+1:]
-	h.freeAt = now + h.left(0)
+	h.idleAt = now + h.remaining(0)
 }
 
 // unanswered notes that a call timed out. The service may not have begun it yet, so that it
 // counts with its whole service time from now.
 func (a *advisers) unanswered(name string, step adviceStep, now time.Duration) {
-	h, at := a.find(name, step)
+	h, at := a.findCall(name, step)
 	if at < 0 {
 		return
 	}
-	h.calls[at].givenUp = true
-	h.freeAt = max(h.freeAt, now+h.left(at))
-	h.pausedTo = now + adviserPause
+	h.calls[at].timedOut = true
+	h.idleAt = max(h.idleAt, now+h.remaining(at))
+	h.pausedUntil = now + adviserPause
 }
 
 // notSent removes a call that did not reach the service.
-func (a *advisers) notAsked(name string, step adviceStep, now time.Duration) {
-	h, at := a.find(name, step)
+func (a *advisers) notSent(name string, step adviceStep, now time.Duration) {
+	h, at := a.findCall(name, step)
 	if at < 0 {
 		return
 	}
-	h.freeAt -= h.calls[at].cost
+	h.idleAt -= h.calls[at].cost
 	h.calls = slices.Delete(h.calls, at, at+1)
-	h.pausedTo = now + adviserPause
+	h.pausedUntil = now + adviserPause
 }
 
 // remaining returns the total service time of the calls from an index on.
-func (h *adviser) left(from int) time.Duration {
+func (h *adviser) remaining(from int) time.Duration {
 	var sum time.Duration
 	for _, c := range h.calls[from:] {
 		sum += c.cost
@@ -164,8 +164,8 @@
 }
 
 // findCall returns a host and the index of its newest call about a step, or nil and -1.
-func (a *advisers) find(name string, step adviceStep) (*adviser, int) {
-	h := a.away[name]
+func (a *advisers) findCall(name string, step adviceStep) (*adviser, int) {
+	h := a.unlisted[name]
 	for _, listed := range a.hosts {
 		if listed.name == name {
 			h = listed
--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -12,16 +12,16 @@
 // adviceService simulates an advice service that executes the calls of each host one after
 // the other, including those that have timed out.
 type adviceService struct {
-	w      *world
-	hosts  []string
-	freeAt map[string]time.Duration
-	most   time.Duration // largest backlog of one host so far
-	failed []time.Duration
-	flaps  bool // a host leaves the host list for 300 ms after a failed call
+	w          *world
+	hosts      []string
+	idleAt     map[string]time.Duration
+	maxBacklog time.Duration // largest backlog of one host so far
+	failed     []time.Duration
+	flaps      bool // a host leaves the host list for 300 ms after a failed call
 }
 
 func (w *world) newAdviceService(hosts ...string) *adviceService {
-	a := &adviceService{w: w, hosts: hosts, freeAt: make(map[string]time.Duration)}
+	a := &adviceService{w: w, hosts: hosts, idleAt: make(map[string]time.Duration)}
 	w.advice = a
 	w.step(HostsSeen{Hosts: hosts})
 	return a
@@ -30,9 +30,9 @@
 // advise adds a call and returns the time to its answer and true, or its timeout and false
 // if it times out.
 func (a *adviceService) advise(c Advise) (time.Duration, bool) {
-	free := max(a.freeAt[c.Host], a.w.now) + c.Expected
-	a.freeAt[c.Host] = free
-	a.most = max(a.most, free-a.w.now)
+	free := max(a.idleAt[c.Host], a.w.now) + c.Expected
+	a.idleAt[c.Host] = free
+	a.maxBacklog = max(a.maxBacklog, free-a.w.now)
 	if took := free - a.w.now + 2*testDelay; took <= c.Timeout {
 		return took, true
 	}
@@ -66,7 +66,7 @@
 // service still executes the calls of the earlier leader, which the new one does not count,
 // and each call that times out is followed by one queued behind it. Gangs that have room
 // never start.
-func TestAdviceDrainsAfterATakeover(t *testing.T) {
+func TestAdviceBacklogDrainsAfterTakeover(t *testing.T) {
 	for name, flaps := range map[string]bool{"hosts stay listed": false, "hosts leave the list and come back": true} {
 		t.Run(name, func(t *testing.T) {
 			const inherited = 8 * time.Second
@@ -78,13 +78,13 @@
 			a := w.newAdviceService("", "h1", "h2", "h3", "h4", "h5")
 			a.flaps = flaps
 			for _, h := range a.hosts {
-				a.freeAt[h] = w.now + inherited
+				a.idleAt[h] = w.now + inherited
 			}
 			ids := w.submitGangs(60)
 			w.run(time.Minute)
 			w.mustComplete(ids...)
-			if most := inherited + 3*longAdvice; a.most > most {
-				t.Errorf("largest backlog of a host %v, want at most %v", a.most, most)
+			if most := inherited + 3*longAdvice; a.maxBacklog > most {
+				t.Errorf("largest backlog of a host %v, want at most %v", a.maxBacklog, most)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 
 // Guards against calls that time out behind other calls of the scheduler through the same
 // host.
-func TestAdviceHasTimeForWhatIsAhead(t *testing.T) {
+func TestAdviceTimeoutCoversBacklog(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	for i, cost := range []time.Duration{longAdvice / 5, longAdvice, longAdvice} {
@@ -100,17 +100,17 @@
 		if h == nil {
 			t.Fatalf("call %d is not accepted", i)
 		}
-		if timeout := h.ask(adviceStep{job: fmt.Sprint(i)}, cost, 0); timeout < h.backlog(0) {
+		if timeout := h.enqueue(adviceStep{job: fmt.Sprint(i)}, cost, 0); timeout < h.backlog(0) {
 			t.Errorf("timeout of call %d is %v, less than the backlog of %v", i, timeout, h.backlog(0))
 		}
 	}
 }
 
 // Guards against losing the backlog of a host while it is not listed.
-func TestAdviserIsRememberedWhileAway(t *testing.T) {
+func TestAdviceBacklogKeptWhileHostUnlisted(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
-	a.hosts[0].ask(adviceStep{job: "a"}, 3*time.Second, 0)
+	a.hosts[0].enqueue(adviceStep{job: "a"}, 3*time.Second, 0)
 	a.set(nil, time.Second)
 	a.set([]string{"h1"}, 2*time.Second)
 	if got := a.hosts[0].backlog(2 * time.Second); got != 3*time.Second {
@@ -119,25 +119,25 @@
 	a.answered("h1", adviceStep{job: "a"}, 2*time.Second)
 	a.set(nil, 3*time.Second)
 	a.set(nil, 4*time.Second)
-	if len(a.away) != 0 {
-		t.Errorf("%d unlisted hosts are kept without a backlog or a pause", len(a.away))
+	if len(a.unlisted) != 0 {
+		t.Errorf("%d unlisted hosts are kept without a backlog or a pause", len(a.unlisted))
 	}
 }
 
 // Guards against a call that is sent too soon after one timed out: the service may not have
 // begun that one yet, nor those queued behind it.
-func TestUnansweredAdviceCounts(t *testing.T) {
+func TestTimedOutAdviceCallStaysInBacklog(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	h := a.hosts[0]
 	for i := range 3 {
-		h.ask(adviceStep{job: fmt.Sprint(i)}, time.Second, 0)
+		h.enqueue(adviceStep{job: fmt.Sprint(i)}, time.Second, 0)
 	}
 	a.unanswered("h1", adviceStep{job: "0"}, 5*time.Second)
 	if got := h.backlog(5 * time.Second); got != 3*time.Second {
 		t.Errorf("backlog %v, want 3 s", got)
 	}
-	if h.takes(time.Second, 5*time.Second+adviserPause/2) {
+	if h.accepts(time.Second, 5*time.Second+adviserPause/2) {
 		t.Error("the host is not paused")
 	}
 	a.answered("h1", adviceStep{job: "2"}, 6*time.Second)
@@ -147,30 +147,30 @@
 }
 
 // Guards against counting a call that never reached the service.
-func TestAdviceThatWasNotSent(t *testing.T) {
+func TestUnsentAdviceCallLeavesBacklog(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	h := a.hosts[0]
-	h.ask(adviceStep{job: "a"}, 3*time.Second, 0)
-	a.notAsked("h1", adviceStep{job: "a"}, 0)
+	h.enqueue(adviceStep{job: "a"}, 3*time.Second, 0)
+	a.notSent("h1", adviceStep{job: "a"}, 0)
 	if got := h.backlog(0); got != 0 {
 		t.Errorf("backlog %v, want none", got)
 	}
-	if h.takes(time.Second, adviserPause/2) || !h.takes(time.Second, adviserPause) {
+	if h.accepts(time.Second, adviserPause/2) || !h.accepts(time.Second, adviserPause) {
 		t.Error("the host is not paused for adviserPause")
 	}
 }
 
 // Guards against a list of calls that grows without bound if the service never answers a
 // host.
-func TestCallsGivenUpAreForgotten(t *testing.T) {
+func TestTimedOutAdviceCallsAreDropped(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	h := a.hosts[0]
 	for i := range 100 {
 		now := time.Duration(i) * time.Minute
 		step := adviceStep{job: fmt.Sprint(i)}
-		h.ask(step, time.Second, now)
+		h.enqueue(step, time.Second, now)
 		a.unanswered("h1", step, now+3*time.Second)
 	}
 	if len(h.calls) != 1 {
@@ -180,17 +180,17 @@
 
 // Guards against exceeding a host's backlog limit while the service is slow: a call without
 // an answer counts in full, however long it has been in flight.
-func TestAdviceUnderWayCounts(t *testing.T) {
+func TestInFlightAdviceCallsCountInFull(t *testing.T) {
 	var a advisers
 	a.set([]string{"h1"}, 0)
 	h := a.hosts[0]
-	h.ask(adviceStep{job: "a"}, time.Second, 0)
-	h.ask(adviceStep{job: "b"}, time.Second, 0)
-	if h.takes(time.Second, 2*time.Second) {
+	h.enqueue(adviceStep{job: "a"}, time.Second, 0)
+	h.enqueue(adviceStep{job: "b"}, time.Second, 0)
+	if h.accepts(time.Second, 2*time.Second) {
 		t.Error("a third call is accepted while two are in flight")
 	}
 	a.answered("h1", adviceStep{job: "a"}, 2*time.Second)
-	if !h.takes(time.Second, 2*time.Second) {
+	if !h.accepts(time.Second, 2*time.Second) {
 		t.Error("no call is accepted after one was answered")
 	}
 }
