--- a/region/advice.go
+++ b/region/advice.go
@@ -270,7 +270,7 @@
 
 func (s *Scheduler) advised(ev Advised) {
 	s.noteAdviceCall(ev)
-	t := s.find(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
+	t := s.findTask(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
 	if t == nil {
 		return
 	}
--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -25,14 +25,14 @@
 		t.Fatal("no further probe")
 		return 0
 	}
-	if got := pause(0); got != lookGap {
-		t.Errorf("pause %v with no event waiting, want %v", got, lookGap)
+	if got := pause(0); got != probeGap {
+		t.Errorf("pause %v with no event waiting, want %v", got, probeGap)
 	}
-	if got, most := pause(10*time.Millisecond), lookGap+pausePerBehind*10*time.Millisecond; got <= lookGap+most/4 || got > most {
+	if got, most := pause(10*time.Millisecond), probeGap+pausePerDelay*10*time.Millisecond; got <= probeGap+most/4 || got > most {
 		t.Errorf("pause %v with events waiting 10 ms, want close to %v", got, most)
 	}
-	if got := pause(time.Second); got != mostLookPause {
-		t.Errorf("pause %v with events waiting a second, want %v", got, mostLookPause)
+	if got := pause(time.Second); got != maxProbePause {
+		t.Errorf("pause %v with events waiting a second, want %v", got, maxProbePause)
 	}
 }
 
@@ -64,15 +64,15 @@
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := backlog(1, 0, 0)
 		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
-		return s.lookPause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
+		return s.probePause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
 	}
-	if pause, lease := at(busyLink); pause != lookGap || lease != shortLease {
+	if pause, lease := at(busyLink); pause != probeGap || lease != shortLease {
 		t.Errorf("pause %v, lease %v with the link half used", pause, lease)
 	}
-	if pause, _ := at((busyLink + fullLink) / 2); pause <= lookGap || pause >= mostLookPause {
+	if pause, _ := at((busyLink + fullLink) / 2); pause <= probeGap || pause >= maxProbePause {
 		t.Errorf("pause %v with a busy link", pause)
 	}
-	if pause, lease := at(1); pause != mostLookPause || lease != testOptions().Lease {
+	if pause, lease := at(1); pause != maxProbePause || lease != testOptions().Lease {
 		t.Errorf("pause %v, lease %v with the link full", pause, lease)
 	}
 }
--- a/region/departed.go
+++ b/region/departed.go
@@ -15,26 +15,26 @@
 }
 
 type departure struct {
-	lives int64
-	at    time.Duration
+	incarnations int64
+	at           time.Duration
 }
 
-func (d *departed) add(id string, lives int64, now time.Duration) {
+func (d *departed) add(id string, incarnations int64, now time.Duration) {
 	if d.byID == nil {
 		d.byID = make(map[string]departure)
 	}
-	d.byID[id] = departure{lives: lives, at: now}
+	d.byID[id] = departure{incarnations: incarnations, at: now}
 	d.queue = append(d.queue, id)
 }
 
 // incarnations returns the kept incarnation count of a worker, or 0 if there is none.
-func (d *departed) lives(id string) int64 { return d.byID[id].lives }
+func (d *departed) incarnations(id string) int64 { return d.byID[id].incarnations }
 
 func (d *departed) expire(now time.Duration) {
 	n := 0
 	for ; n < len(d.queue); n++ {
 		left, known := d.byID[d.queue[n]]
-		if known && now-left.at < departedFor {
+		if known && now-left.at < departedRetention {
 			break
 		}
 		delete(d.byID, d.queue[n])
@@ -43,4 +43,4 @@
 }
 
 // departedRetention is how long a count is kept: longer than any call can be late.
-const departedFor = time.Minute
+const departedRetention = time.Minute
--- a/region/doubt.go
+++ b/region/doubt.go
@@ -10,21 +10,21 @@
 
 // lateCallWindow is the longest time after sending at which a call without an answer may
 // still be executed.
-const lateCall = 8 * time.Second
+const lateCallWindow = 8 * time.Second
 
 // startCalls tracks the start calls of a run.
 type startCalls struct {
 	unanswered int           // calls in flight or timed out
 	executed   bool          // one of those was executed: the worker has listed the run
 	confirmed  bool          // another one was answered, so a listed run does not show that one of those was executed
-	until      time.Duration // when the newest call can no longer be executed
-	unknown    bool          // an earlier leader sent them, and their outcome is not recorded
+	expiresAt  time.Duration // when the newest call can no longer be executed
+	inherited  bool          // an earlier leader sent them, and their outcome is not recorded
 	recorded   bool          // the log has a record that all of them are settled
 }
 
 func (c *startCalls) sent(at time.Duration) {
 	c.unanswered++
-	c.until = at + lateCall
+	c.expiresAt = at + lateCallWindow
 }
 
 func (c *startCalls) answered(err CallError) {
@@ -38,21 +38,21 @@
 }
 
 // runListed notes that the worker has listed the run.
-func (c *startCalls) seen() {
+func (c *startCalls) runListed() {
 	c.executed = !c.confirmed
-	c.unknown = false
+	c.inherited = false
 }
 
 // settle notes that no call can be executed any more.
-func (c *startCalls) settle() { c.unanswered, c.unknown = 0, false }
+func (c *startCalls) settle() { c.unanswered, c.inherited = 0, false }
 
 // mayExecute reports whether a call may still be executed.
-func (c *startCalls) open(now time.Duration) bool {
+func (c *startCalls) mayExecute(now time.Duration) bool {
 	left := c.unanswered
 	if c.executed {
 		left--
 	}
-	return left > 0 && now < c.until
+	return left > 0 && now < c.expiresAt
 }
 
 // mayStartLate reports whether a start call of the run may still be executed, in this
@@ -63,31 +63,31 @@
 // not seen this leader's fencing token. If the task had been started elsewhere in the
 // meantime, it would run twice. A ticket is valid in one incarnation only, so a late start
 // with a ticket is refused. Copies of speculative tasks may run at the same time.
-func (s *Scheduler) inDoubt(r *run) bool {
+func (s *Scheduler) mayStartLate(r *run) bool {
 	st := r.task.step
 	switch {
 	case st.advised() || st.rec.Speculative:
 		return false
-	case r.calls.unknown:
-		return !s.leading() || s.now < s.leadSince+lateCall
+	case r.calls.inherited:
+		return !s.leading() || s.now < s.leadSince+lateCallWindow
 	}
-	return r.calls.open(s.now)
+	return r.calls.mayExecute(s.now)
 }
 
 // awaitLateStart keeps a run that its worker reports as over while a start call of it may
 // still be executed. Until then the task is not started again, and the run counts towards
 // the workspace's cap. The log message is "run in doubt".
-func (s *Scheduler) keepInDoubt(r *run, why string) {
-	if r.phase == phaseInDoubt {
+func (s *Scheduler) awaitLateStart(r *run, why string) {
+	if r.phase == phaseLateStart {
 		return
 	}
-	r.phase = phaseInDoubt
+	r.phase = phaseLateStart
 	r.settledAt = 0
 	delete(r.worker.orders, r.id())
 	s.doubts = append(s.doubts, r)
 	s.explain(r.task.step.job.rec.Id, "run in doubt", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index}, Field{"run", r.number},
-		Field{"unanswered", r.calls.unanswered}, Field{"inherited", r.calls.unknown})
+		Field{"unanswered", r.calls.unanswered}, Field{"inherited", r.calls.inherited})
 	s.breakGang(r.task, r.number)
 	s.publish(r.task.step.job)
 }
@@ -97,15 +97,15 @@
 	if len(s.doubts) == 0 {
 		return
 	}
-	held := slices.Clone(s.doubts)
+	waiting := slices.Clone(s.doubts)
 	s.doubts = s.doubts[:0]
-	for _, r := range held {
+	for _, r := range waiting {
 		switch {
-		case r.task.run != r || r.phase != phaseInDoubt:
-		case s.inDoubt(r):
+		case r.task.run != r || r.phase != phaseLateStart:
+		case s.mayStartLate(r):
 			s.doubts = append(s.doubts, r)
 		default:
-			s.lose(r, "no start of it can be carried out any more")
+			s.markLost(r, "no start of it can be carried out any more")
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // leader need not wait for one. Runs with tickets never start late and need no record.
 func (s *Scheduler) recordSettled(r *run) {
 	st := r.task.step
-	if r.calls.recorded || st.advised() || st.rec.Speculative || s.inDoubt(r) {
+	if r.calls.recorded || st.advised() || st.rec.Speculative || s.mayStartLate(r) {
 		return
 	}
 	r.calls.recorded = true
@@ -138,7 +138,7 @@
 
 // replaySettled applies a record of recordSettled.
 func (s *Scheduler) replaySettled(e *record.Settled) {
-	t := s.find(model.TaskIDOf(e.Task))
+	t := s.findTask(model.TaskIDOf(e.Task))
 	if t == nil || t.run == nil || t.run.number != e.Run {
 		return
 	}
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -9,11 +9,11 @@
 )
 
 // inFlightTime is enough for the probes of a stopped leader to arrive.
-const underWay = 300 * time.Millisecond
+const inFlightTime = 300 * time.Millisecond
 
-// lateStart returns a world with workers w1 and w2 and a job whose start on w1 is executed
+// lateStartWorld returns a world with workers w1 and w2 and a job whose start on w1 is executed
 // with a delay, and w1, which the caller crashes before that.
-func lateStart(t *testing.T, late time.Duration, step *record.Step) (*world, *fakeWorker) {
+func lateStartWorld(t *testing.T, late time.Duration, step *record.Step) (*world, *fakeWorker) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
@@ -47,14 +47,14 @@
 // Guards against a task that runs twice: its start is executed in its worker's third
 // incarnation, after the second one has answered a probe and listed no run.
 func TestStartInTheThirdLife(t *testing.T) {
-	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	crash(w, fw)
 	w.run(time.Second)
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
 	w.stopLeading()
-	w.run(underWay)
+	w.run(inFlightTime)
 	crash(w, fw)
 	w.run(time.Second)
 	if n := len(fw.runs); n != 1 {
@@ -68,7 +68,7 @@
 // Guards against the same under a new leader, which does not know the outcome of the calls of
 // the earlier one.
 func TestInheritedStartInTheNextLife(t *testing.T) {
-	w, fw := lateStart(t, 4*time.Second, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, 4*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
 	w.run(500 * time.Millisecond)
 	w.lead()
@@ -77,7 +77,7 @@
 		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
 	w.stopLeading()
-	w.run(underWay)
+	w.run(inFlightTime)
 	crash(w, fw)
 	w.run(4 * time.Second)
 	if n := len(fw.runs); n != 1 {
@@ -90,20 +90,20 @@
 
 // Guards against a task that waits without limit for a start that is never executed.
 func TestDoubtEnds(t *testing.T) {
-	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	crash(w, fw)
-	w.run(lateCall + 15*time.Second)
+	w.run(lateCallWindow + 15*time.Second)
 	w.mustComplete("a")
 }
 
 // Guards against a wait for a late start that ends too soon: the next incarnation does not
 // answer, and any lease of it is over before the start can no longer be executed.
 func TestDoubtOutlivesTheLeaseOfTheNextLife(t *testing.T) {
-	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
 	crash(w, fw)
 	fw.cut = true
-	w.run(lateCall - time.Second - (w.now - sent))
+	w.run(lateCallWindow - time.Second - (w.now - sent))
 	if n := len(w.workers["w2"].runs); n != 0 {
 		t.Errorf("%d runs on w2 while the start on w1 may still be executed", n)
 	}
@@ -134,7 +134,7 @@
 // Guards against a wait for a start at an address that now belongs to another worker, which
 // refuses calls that name the earlier id.
 func TestAddressTakenByAnotherWorker(t *testing.T) {
-	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	next := fw.entry
 	next.ID, next.BornUnix = "w3", 2
 	fw.cut = true
@@ -148,9 +148,9 @@
 // Guards against a member of a gang that keeps its room without limit: its start is executed
 // after the other members were stopped.
 func TestLateMemberOfAGangIsStopped(t *testing.T) {
-	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
+	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
 	w.stopLeading()
-	w.run(underWay)
+	w.run(inFlightTime)
 	crash(w, fw)
 	w.run(2 * time.Second)
 	if n := len(fw.runs); n != 1 {
@@ -171,9 +171,9 @@
 // its worker's next incarnation, and a new leader would end the run together with the
 // earlier incarnation.
 func TestLateRunIsTakenOver(t *testing.T) {
-	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
-	w.run(underWay)
+	w.run(inFlightTime)
 	crash(w, fw)
 	w.run(2 * time.Second)
 	w.lead()
@@ -215,9 +215,9 @@
 // Guards against a task that is started elsewhere while one of two starts of its run may still
 // be executed: the other one was executed, and the worker lists its end.
 func TestEndOfARunThatWasStartedTwice(t *testing.T) {
-	w, fw := lateStart(t, 2*time.Second, &record.Step{Count: 1})
+	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
-	r := w.sched.find(id).run
+	r := w.sched.findTask(id).run
 	w.tell(StartAnswered{Order: model.StartOrder{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
@@ -233,7 +233,7 @@
 // Guards against a wait for a late start of a speculative task, of which several copies may
 // run at the same time.
 func TestSpeculativeStartIsNotWaitedFor(t *testing.T) {
-	w, fw := lateStart(t, time.Hour, &record.Step{Count: 1, Speculative: true})
+	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1, Speculative: true})
 	crash(w, fw)
 	w.run(500 * time.Millisecond)
 	if n := len(fw.runs) + len(w.workers["w2"].runs); n != 1 {
--- a/region/end.go
+++ b/region/end.go
@@ -8,15 +8,15 @@
 // abandon ends a run whose worker reported no end, or keeps it while it may still start
 // late.
 func (s *Scheduler) abandon(r *run, why string) {
-	if s.inDoubt(r) {
-		s.keepInDoubt(r, why)
+	if s.mayStartLate(r) {
+		s.awaitLateStart(r, why)
 		return
 	}
-	s.lose(r, why)
+	s.markLost(r, why)
 }
 
 // markLost ends a run whose worker reported no end. It does not count as an attempt.
-func (s *Scheduler) lose(r *run, why string) {
+func (s *Scheduler) markLost(r *run, why string) {
 	t := r.task
 	s.explain(t.step.job.rec.Id, "run lost", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", t.step.index}, Field{"task", t.index}, Field{"run", r.number},
@@ -37,13 +37,13 @@
 
 // isFinal reports whether the outcome completes the task. A long-running task is started
 // again after any outcome.
-func (t *task) endsAs(outcome record.Outcome) bool {
+func (t *task) isFinal(outcome record.Outcome) bool {
 	return outcome == record.Outcome_OUTCOME_DONE && !t.step.rec.LongRunning
 }
 
 // runEnded applies an end that a worker lists.
 func (s *Scheduler) runEnded(w *worker, e model.End) {
-	t := s.find(e.Task)
+	t := s.findTask(e.Task)
 	if t == nil {
 		return
 	}
@@ -53,15 +53,15 @@
 	}
 	if r != nil && r.number == e.Run && r.worker == w {
 		s.learn(r, e.Outcome)
-		r.calls.seen()
-		if e.Outcome != record.Outcome_OUTCOME_DONE && e.Outcome != record.Outcome_OUTCOME_FAILED && s.inDoubt(r) {
-			s.keepInDoubt(r, "its worker lists its end")
+		r.calls.runListed()
+		if e.Outcome != record.Outcome_OUTCOME_DONE && e.Outcome != record.Outcome_OUTCOME_FAILED && s.mayStartLate(r) {
+			s.awaitLateStart(r, "its worker lists its end")
 			return
 		}
 		s.release(r)
 		r = nil
 	}
-	if e.Run <= t.endedRun && (!t.endsAs(e.Outcome) || t.done) {
+	if e.Run <= t.endedRun && (!t.isFinal(e.Outcome) || t.done) {
 		return
 	}
 	t.lastRun = max(t.lastRun, e.Run)
@@ -70,7 +70,7 @@
 		s.explain(e.Task.Job, "run failed", Field{"worker", w.entry.ID}, Field{"step", e.Task.Step},
 			Field{"task", e.Task.Index}, Field{"run", e.Run}, Field{"attempts", t.attempts})
 	}
-	if t.endsAs(e.Outcome) {
+	if t.isFinal(e.Outcome) {
 		if r != nil {
 			s.stopRun(r, "an earlier run is done")
 		}
@@ -88,10 +88,10 @@
 	first := number > t.endedRun
 	t.endedRun = max(t.endedRun, number)
 	if checkpoint != "" {
-		s.saved(t, checkpoint)
+		s.saveCheckpoint(t, checkpoint)
 	}
 	switch {
-	case t.endsAs(outcome):
+	case t.isFinal(outcome):
 		s.taskDone(t)
 	case outcome == record.Outcome_OUTCOME_FAILED && first:
 		s.countFailure(t)
@@ -117,7 +117,7 @@
 }
 
 // saveCheckpoint stores a checkpoint; that of one member is valid for the whole gang.
-func (s *Scheduler) saved(t *task, checkpoint string) {
+func (s *Scheduler) saveCheckpoint(t *task, checkpoint string) {
 	if !t.step.rec.Gang {
 		t.checkpoint = checkpoint
 		return
--- a/region/lease.go
+++ b/region/lease.go
@@ -8,14 +8,14 @@
 	// ones must be answered before a lease is granted again.
 	shortLease = 1200 * time.Millisecond
 	// probesPerLease is how many probes of a worker fit into its lease: one may be lost.
-	leaseLooks = 3
+	probesPerLease = 3
 	// restartTime is the time between the end of a lease and the restart of its task: the
 	// worker's margin, advice and an append to the log.
 	restartTime = lapseMargin + 200*time.Millisecond
 	// separationShare is the part of a deferrable step's slack during which it avoids
 	// workers with pressing work. Afterwards it may use any worker, as there may be no
 	// other room.
-	apartShare = 0.5
+	separationShare = 0.5
 )
 
 // pressing reports whether the step's result is worthless if it is delayed by the longest
@@ -46,14 +46,14 @@
 }
 
 // runCounts counts the runs on a worker by kind.
-type runCounts struct{ pressing, patient int }
+type runCounts struct{ pressing, deferrable int }
 
 func (n *runCounts) add(pressing bool, by int) {
 	if pressing {
 		n.pressing += by
 		return
 	}
-	n.patient += by
+	n.deferrable += by
 }
 
 // leaseFor returns the length of the lease that a worker gets. An idle worker gets a short
@@ -61,7 +61,7 @@
 // next. With the leader's link full, probes are too late to renew short leases, and runs
 // whose leases lapse must be started again.
 func (s *Scheduler) leaseFor(w *worker) time.Duration {
-	if w.counts.patient > 0 || s.linkLoad > fullLink {
+	if w.counts.deferrable > 0 || s.linkLoad > fullLink {
 		return s.opts.Lease
 	}
 	return min(shortLease, s.opts.Lease)
@@ -69,7 +69,7 @@
 
 // grantLease grants the worker a lease and returns its end in milliseconds of the worker's
 // clock, or 0 if another host may be the leader.
-func (s *Scheduler) leaseEnd(w *worker) int64 {
+func (s *Scheduler) grantLease(w *worker) int64 {
 	if !s.proven() {
 		return 0
 	}
@@ -86,7 +86,7 @@
 	// alreadyMixedBonus ranks workers that both kinds share already before those with
 	// deferrable work alone. The deferrable work there ends and none is added, which
 	// leaves some workers with pressing work only.
-	gatherBonus = mixPenalty / 2
+	alreadyMixedBonus = mixPenalty / 2
 )
 
 // apartScore returns what the worker's other runs, and a long lease left by earlier ones,
@@ -95,10 +95,10 @@
 	switch {
 	case !st.pressing && w.counts.pressing > 0:
 		return -mixPenalty
-	case !st.pressing || w.counts.patient == 0 && !s.longLeased(w):
+	case !st.pressing || w.counts.deferrable == 0 && !s.longLeased(w):
 		return 0
 	case w.counts.pressing > 0:
-		return gatherBonus - mixPenalty
+		return alreadyMixedBonus - mixPenalty
 	}
 	return -mixPenalty
 }
@@ -117,6 +117,6 @@
 	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
 		return false
 	}
-	patience := time.Duration(apartShare * float64(st.key-st.openAt))
-	return s.now < st.openAt+patience
+	separationTime := time.Duration(separationShare * float64(st.key-st.openAt))
+	return s.now < st.openAt+separationTime
 }
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -119,8 +119,8 @@
 		w.submitTo(slowJob(fmt.Sprintf("s%d", i), 1), "slow")
 		w.run(50 * time.Millisecond)
 		for name, fw := range w.sched.workers {
-			if n := fw.counts; n.pressing > 0 && n.patient > 0 {
-				t.Fatalf("worker %s has %d urgent and %d slow runs while others have room", name, n.pressing, n.patient)
+			if n := fw.counts; n.pressing > 0 && n.deferrable > 0 {
+				t.Fatalf("worker %s has %d urgent and %d slow runs while others have room", name, n.pressing, n.deferrable)
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 	for i := range 50 {
 		urgent(100 + i)
 	}
-	const allowed = int(leastOverdue/(10*time.Millisecond)) + 2
+	const allowed = int(minOverdue/(10*time.Millisecond)) + 2
 	if n := len(w.sched.workers[least.entry.ID].runs); n > before+allowed {
 		t.Errorf("%d more runs on a worker that does not answer, want at most %d", n-before, allowed)
 	}
--- a/region/look.go
+++ b/region/look.go
@@ -10,21 +10,21 @@
 const (
 	// probeWait is how long a worker may wait for the end of a run before it answers a
 	// probe. A longer wait saves probes, a shorter one detects a lost worker sooner.
-	lookWait = 700 * time.Millisecond
+	probeWait = 700 * time.Millisecond
 	// lossyWait replaces probeWait for a worker that did not answer a probe within the
 	// last lossyWindow: where answers are lost, a short wait detects it sooner.
-	lossyWait = 150 * time.Millisecond
-	lossyFor  = 5 * time.Second
+	lossyWait   = 150 * time.Millisecond
+	lossyWindow = 5 * time.Second
 	// probeGap is the shortest pause between two probes of a worker. It lets several
 	// ends share a probe, which costs about 1% of a small task's worth. 100 ms are a
 	// sixth of the slack of the shortest tasks. A day of low load has 11,300 probes with
 	// 60 ms and 9,100 with 130 ms.
-	lookGap = 100 * time.Millisecond
+	probeGap = 100 * time.Millisecond
 	// pausePerDelay times the mean delay of events in the leader is added to that pause,
 	// up to maxProbePause. Probes are half of a leader's calls, and in a burst of work
 	// starts and advice would wait behind them.
-	pausePerBehind = 8
-	mostLookPause  = 300 * time.Millisecond
+	pausePerDelay = 8
+	maxProbePause = 300 * time.Millisecond
 	// busyLink is the share of the leader's link in use above which the pause grows as
 	// well. It reaches maxProbePause at fullLink, where starts and appends would wait
 	// behind probes.
@@ -37,7 +37,7 @@
 	// delay of events.
 	behindMemory = 16
 	// probeRetry is the pause after a failed probe.
-	lookRetry = 150 * time.Millisecond
+	probeRetry = 150 * time.Millisecond
 	// maxEndsListed is the largest number of ends in one answer. A full list may be
 	// truncated, so a run that it does not name may still have an end.
 	maxEndsListed = 500
@@ -46,8 +46,8 @@
 // probe sends a Hold call, which renews the worker's leases and reads which runs are
 // running and which have ended. One probe at a time is in flight for a worker, so that
 // answers arrive in order.
-func (s *Scheduler) look(w *worker, after time.Duration) {
-	if w.looking || !s.leading() || w.entry.Address == "" {
+func (s *Scheduler) probe(w *worker, after time.Duration) {
+	if w.probing || !s.leading() || w.entry.Address == "" {
 		return
 	}
 	order := model.HoldOrder{Worker: w.ref(), Fence: s.fenceOf(w)}
@@ -55,18 +55,18 @@
 	// renewal may be executed late, so that the runs of a worker that does not come back
 	// could never be declared lost. Such a probe renews and acknowledges nothing and only
 	// checks the connection.
-	if w.fenced && !w.missed {
+	if w.fenced && !w.probeMissed {
 		order.AckedUpTo = w.acked
-		order.Wait = lookWait
+		order.Wait = probeWait
 		if len(w.runs) > 0 {
-			order.Wait = min(lookWait, s.leaseFor(w)/leaseLooks)
+			order.Wait = min(probeWait, s.leaseFor(w)/probesPerLease)
 		}
-		if s.now < w.lossyTo {
+		if s.now < w.lossyUntil {
 			order.Wait = lossyWait
 		}
-		order.UntilMs = s.leaseEnd(w)
+		order.UntilMs = s.grantLease(w)
 	}
-	w.looking = true
+	w.probing = true
 	s.emit(Hold{Order: order, After: after})
 }
 
@@ -75,9 +75,9 @@
 	if !known {
 		return
 	}
-	w.looking = false
+	w.probing = false
 	if ev.Order.Worker.BornUnix != w.entry.BornUnix {
-		s.look(w, 0)
+		s.probe(w, 0)
 		return
 	}
 	switch ev.Err {
@@ -86,52 +86,52 @@
 		s.emit(Deposed{Worker: w.entry.ID})
 		return
 	case CallOtherLife:
-		s.otherLife(w)
-		s.lookAgain(w, lookRetry)
+		s.otherIncarnation(w)
+		s.probeAgain(w, probeRetry)
 		return
 	default:
-		w.missed = true
-		w.lossyTo = s.now + lossyFor
-		s.lookAgain(w, lookRetry)
+		w.probeMissed = true
+		w.lossyUntil = s.now + lossyWindow
+		s.probeAgain(w, probeRetry)
 		return
 	}
-	s.readLook(w, ev)
-	if w.missed {
-		w.missed = false
-		s.lookAgain(w, 0)
+	s.readProbe(w, ev)
+	if w.probeMissed {
+		w.probeMissed = false
+		s.probeAgain(w, 0)
 		return
 	}
-	s.lookAgain(w, s.lookPause())
+	s.probeAgain(w, s.probePause())
 }
 
 // otherIncarnation ends the known incarnation of a worker after another one has answered
 // in its place. The worker gets no work until the host list has an entry of the new
 // incarnation, which may differ in kind or size.
-func (s *Scheduler) otherLife(w *worker) {
-	if !w.fenced && !slices.ContainsFunc(w.runs, func(r *run) bool { return r.phase != phaseInDoubt }) {
+func (s *Scheduler) otherIncarnation(w *worker) {
+	if !w.fenced && !slices.ContainsFunc(w.runs, func(r *run) bool { return r.phase != phaseLateStart }) {
 		return // known already
 	}
 	s.explain("", "another life answers for worker", Field{"worker", w.entry.ID}, Field{"runs_lost", len(w.runs)})
-	s.newLife(w)
+	s.endIncarnation(w)
 }
 
 // probePause returns the pause before the next probe of a worker.
-func (s *Scheduler) lookPause() time.Duration {
-	const most = mostLookPause - lookGap
+func (s *Scheduler) probePause() time.Duration {
+	const most = maxProbePause - probeGap
 	crowded := min(max(s.linkLoad-busyLink, 0)/(fullLink-busyLink), 1)
-	return lookGap + max(min(pausePerBehind*s.behind, most), time.Duration(crowded*float64(most)))
+	return probeGap + max(min(pausePerDelay*s.behind, most), time.Duration(crowded*float64(most)))
 }
 
 // probeAgain sends the next probe, or removes a worker that has left and has no runs.
-func (s *Scheduler) lookAgain(w *worker, after time.Duration) {
+func (s *Scheduler) probeAgain(w *worker, after time.Duration) {
 	if !w.listed && len(w.runs) == 0 {
 		s.forget(w)
 		return
 	}
-	s.look(w, after)
+	s.probe(w, after)
 }
 
-func (s *Scheduler) readLook(w *worker, ev Held) {
+func (s *Scheduler) readProbe(w *worker, ev Held) {
 	w.clockMs, w.clockAt = ev.Hold.ClockMs, s.now
 	if !w.fenced {
 		w.fenced = true
@@ -149,7 +149,7 @@
 		s.readRunning(w, row)
 	}
 	if len(ev.Hold.Ended) < maxEndsListed {
-		s.clearUnlisted(w, listed, ev.SentAt)
+		s.endUnlisted(w, listed, ev.SentAt)
 	}
 }
 
@@ -160,27 +160,27 @@
 	w.lastEnd = e.Number
 	s.runEnded(w, e)
 	number := e.Number
-	life := w.entry.BornUnix
+	incarnation := w.entry.BornUnix
 	s.afterKept(s.seq, func() {
-		if w.entry.BornUnix == life {
+		if w.entry.BornUnix == incarnation {
 			w.acked = max(w.acked, number)
 		}
 	})
 }
 
 func (s *Scheduler) readRunning(w *worker, row model.Running) {
-	t := s.find(row.Task)
+	t := s.findTask(row.Task)
 	if t == nil || t.run == nil || t.run.number != row.Run || t.run.worker != w {
 		s.stopStray(w, row.RunID)
 		return
 	}
 	r := t.run
 	if row.Checkpoint != "" {
-		s.saved(t, row.Checkpoint)
+		s.saveCheckpoint(t, row.Checkpoint)
 	}
 	s.progress(r, row)
-	r.calls.seen()
-	if r.phase == phaseInDoubt {
+	r.calls.runListed()
+	if r.phase == phaseLateStart {
 		s.adopt(r)
 	}
 	if r.phase == phaseInherited || r.phase == phaseSending {
@@ -202,7 +202,7 @@
 // after they were settled. A member of a gang may be missing because the end of another
 // member counts for all of them. The gang starts again only when every member is over, and
 // that end is applied before its own member is.
-func (s *Scheduler) clearUnlisted(w *worker, listed map[model.TaskID]bool, sentAt time.Duration) {
+func (s *Scheduler) endUnlisted(w *worker, listed map[model.TaskID]bool, sentAt time.Duration) {
 	for _, r := range w.sortedRuns() {
 		if listed[r.task.id()] || !r.settledBefore(sentAt) {
 			continue
--- a/region/overdue.go
+++ b/region/overdue.go
@@ -9,12 +9,12 @@
 const (
 	// minOverdue is the shortest time without an answer to a start or stop call after
 	// which its worker gets no further work: ten times what a healthy worker takes.
-	leastOverdue = 50 * time.Millisecond
+	minOverdue = 50 * time.Millisecond
 	// overdueFactor is the same time in multiples of the mean answer time: when the
 	// leader's processor is busy, all answers are late.
 	overdueFactor = 8
 	// answerSamples is the number of answers in the running mean of the answer time.
-	usualMemory = 32
+	answerSamples = 32
 )
 
 // pendingOrders holds, for each run on a worker, the time of its oldest start or stop call
@@ -24,16 +24,16 @@
 // that after a second; until then the worker appears healthy and increasingly idle. Each
 // start sent there is stuck until its lease is over, and extends the lease of all runs
 // there. The first call that is not answered in time shows it sooner.
-type ordersOut map[model.RunID]time.Duration
+type pendingOrders map[model.RunID]time.Duration
 
-func (o ordersOut) sent(id model.RunID, at time.Duration) {
+func (o pendingOrders) sent(id model.RunID, at time.Duration) {
 	if _, out := o[id]; !out {
 		o[id] = at
 	}
 }
 
 // overdue reports whether a call that was sent before a time has no answer.
-func (o ordersOut) overdue(before time.Duration) bool {
+func (o pendingOrders) overdue(before time.Duration) bool {
 	for _, at := range o {
 		if at < before {
 			return true
@@ -50,7 +50,7 @@
 		return
 	}
 	if at, out := w.orders[id]; out {
-		s.usualAnswer += (s.now - at - s.usualAnswer) / usualMemory
+		s.usualAnswer += (s.now - at - s.usualAnswer) / answerSamples
 		delete(w.orders, id)
 	}
 }
@@ -58,5 +58,5 @@
 // overdueBefore returns the time such that calls sent before it without an answer are
 // overdue.
 func (s *Scheduler) overdueBefore() time.Duration {
-	return s.now - max(leastOverdue, overdueFactor*s.usualAnswer)
+	return s.now - max(minOverdue, overdueFactor*s.usualAnswer)
 }
--- a/region/replay.go
+++ b/region/replay.go
@@ -23,7 +23,7 @@
 
 // findTask returns the task with the id, or nil if there is none. It creates the
 // occurrences of the job up to that of the task: one that was assigned was due.
-func (s *Scheduler) find(id model.TaskID) *task {
+func (s *Scheduler) findTask(id model.TaskID) *task {
 	j, known := s.jobs[id.Job]
 	if !known || int(id.Step) >= len(j.rec.Steps) || id.Occurrence >= max(j.rec.RepeatCount, 1) {
 		return nil
@@ -39,7 +39,7 @@
 }
 
 func (s *Scheduler) replayAssigned(a *record.Assigned) {
-	t := s.find(model.TaskIDOf(a.Task))
+	t := s.findTask(model.TaskIDOf(a.Task))
 	if t == nil || t.done {
 		return
 	}
@@ -48,7 +48,7 @@
 	}
 	w := s.workerNamed(a.Worker)
 	r := &run{
-		task: t, number: a.Run, worker: w, phase: phaseInherited, calls: startCalls{unknown: true},
+		task: t, number: a.Run, worker: w, phase: phaseInherited, calls: startCalls{inherited: true},
 		ref: model.WorkerRef{ID: a.Worker, Address: w.entry.Address, BornUnix: a.BornUnixMs},
 	}
 	s.occupy(r)
@@ -56,7 +56,7 @@
 }
 
 func (s *Scheduler) replayEnded(e *record.Ended) {
-	t := s.find(model.TaskIDOf(e.Task))
+	t := s.findTask(model.TaskIDOf(e.Task))
 	if t == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 	j := s.submit(k.Job)
 	j.writtenAt = s.now
 	for _, ts := range k.Tasks {
-		t := s.find(model.TaskIDOf(ts.Task))
+		t := s.findTask(model.TaskIDOf(ts.Task))
 		if t == nil || t.lastRun > ts.Run {
 			continue
 		}
--- a/region/run.go
+++ b/region/run.go
@@ -12,7 +12,7 @@
 const (
 	// maxStartAttempts is how often a start is sent without an answer before the run is
 	// stopped instead.
-	startTries = 4
+	maxStartAttempts = 4
 	// startRetry is the pause before a start is sent again.
 	startRetry = 30 * time.Millisecond
 	// stopRetry is the pause before a stop is sent again.
@@ -28,29 +28,29 @@
 	phaseRunning                // the worker has it
 	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseInDoubt                // reported as over, but a start call may still be executed
+	phaseLateStart              // reported as over, but a start call may still be executed
 )
 
 // run is one run of a task that may be alive.
 type run struct {
-	task      *task
-	number    int32
-	worker    *worker
-	ref       model.WorkerRef // the worker, and its incarnation, that it was assigned to
-	phase     phase
-	room      model.Resources
-	pressing  bool // counted as pressing in its worker's runCounts
-	ticket    string
-	assigned  time.Duration
-	startedAt time.Duration // when the worker was known to have it
-	endsAt    time.Duration // when it is expected to end
-	leaseTo   int64         // end of the lease that its start grants, on the worker's clock
-	maybeSent bool          // a start got no answer and may still be executed
-	settledAt time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
-	tries     int
-	calls     startCalls
-	percent   int
-	movedAt   time.Duration // when percent last changed
+	task            *task
+	number          int32
+	worker          *worker
+	ref             model.WorkerRef // the worker, and its incarnation, that it was assigned to
+	phase           phase
+	room            model.Resources
+	pressing        bool // counted as pressing in its worker's runCounts
+	ticket          string
+	assigned        time.Duration
+	startedAt       time.Duration // when the worker was known to have it
+	endsAt          time.Duration // when it is expected to end
+	leaseUntil      int64         // end of the lease that its start grants, on the worker's clock
+	startUnanswered bool          // a start got no answer and may still be executed
+	settledAt       time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
+	startAttempts   int
+	calls           startCalls
+	percent         int
+	movedAt         time.Duration // when percent last changed
 }
 
 // target returns the worker to which calls about the run are sent. The address is that of
@@ -156,28 +156,28 @@
 		s.abandon(r, "its ticket expired before its record was kept")
 		return
 	}
-	if r.leaseTo == 0 {
-		r.leaseTo = s.leaseEnd(r.worker)
+	if r.leaseUntil == 0 {
+		r.leaseUntil = s.grantLease(r.worker)
 	}
-	if r.leaseTo == 0 {
-		s.giveUp(r, "the log was not reached lately")
+	if r.leaseUntil == 0 {
+		s.abortStart(r, "the log was not reached lately")
 		return
 	}
 	r.phase = phaseSending
-	r.tries++
+	r.startAttempts++
 	r.calls.sent(s.now + after)
 	r.worker.orders.sent(r.id(), s.now+after)
 	s.emit(Start{After: after, Order: model.StartOrder{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
-		Ticket: r.ticket, UntilMs: r.leaseTo, Fence: s.fenceOf(r.worker),
+		Ticket: r.ticket, UntilMs: r.leaseUntil, Fence: s.fenceOf(r.worker),
 	}})
 }
 
 // currentRun returns the run that an answer is about, or nil if it is no longer the task's
 // run on that worker.
-func (s *Scheduler) current(id model.RunID, ref model.WorkerRef) *run {
-	t := s.find(id.Task)
+func (s *Scheduler) currentRun(id model.RunID, ref model.WorkerRef) *run {
+	t := s.findTask(id.Task)
 	if t == nil || t.run == nil || t.run.number != id.Run || t.run.ref.ID != ref.ID {
 		return nil
 	}
@@ -186,7 +186,7 @@
 
 func (s *Scheduler) startAnswered(ev StartAnswered) {
 	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.current(ev.Order.RunID, ev.Order.Worker)
+	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
 	if r == nil {
 		return
 	}
@@ -194,7 +194,7 @@
 		s.emit(Deposed{Worker: r.ref.ID})
 		return
 	}
-	if r.phase == phaseInDoubt && ev.Err == CallOK {
+	if r.phase == phaseLateStart && ev.Err == CallOK {
 		return // a later incarnation has the run, and a probe will list it
 	}
 	r.calls.answered(ev.Err)
@@ -212,35 +212,35 @@
 	case CallOldRun:
 		r.settledAt = s.now
 	case CallNoAnswer:
-		r.maybeSent = true
+		r.startUnanswered = true
 		s.retryStart(r)
 	case CallNotSent:
 		s.retryStart(r)
 	case CallLate:
-		r.leaseTo = 0
+		r.leaseUntil = 0
 		s.retryStart(r)
 	case CallOtherLife, CallFenced:
-		s.otherLife(r.worker)
+		s.otherIncarnation(r.worker)
 	case CallRefused:
 		r.worker.pausedTo = s.now + unhealthyPause
 		r.worker.health.refused(s.now)
-		s.giveUp(r, "its worker refused")
+		s.abortStart(r, "its worker refused")
 	case CallNoRoom:
 		r.worker.pausedTo = s.now + unhealthyPause
-		s.giveUp(r, "its worker had no room")
+		s.abortStart(r, "its worker had no room")
 	case CallNoTicket:
 		r.task.step.advice.expire(r.worker)
-		s.giveUp(r, "the ticket did not hold")
+		s.abortStart(r, "the ticket did not hold")
 	}
 }
 
 func (s *Scheduler) retryStart(r *run) {
-	if r.tries < startTries {
+	if r.startAttempts < maxStartAttempts {
 		s.sendStart(r, startRetry)
 		return
 	}
 	r.worker.pausedTo = s.now + unhealthyPause
-	s.giveUp(r, "its worker did not answer")
+	s.abortStart(r, "its worker did not answer")
 }
 
 // confirm marks the run as running on its worker.
@@ -264,8 +264,8 @@
 // is stopped instead: after a stop, the worker refuses a late start of the run. The other
 // members of a gang are stopped at once. Otherwise they would wait, and keep their room,
 // until the stop is settled.
-func (s *Scheduler) giveUp(r *run, why string) {
-	if r.maybeSent {
+func (s *Scheduler) abortStart(r *run, why string) {
+	if r.startUnanswered {
 		s.stopRun(r, why)
 		s.breakGang(r.task, r.number)
 		return
@@ -275,7 +275,7 @@
 
 // stopRun sends a stop for a run. Its room is released when the worker lists the end.
 func (s *Scheduler) stopRun(r *run, why string) {
-	if r.phase == phaseStopping || r.phase == phaseInDoubt {
+	if r.phase == phaseStopping || r.phase == phaseLateStart {
 		return
 	}
 	s.explain(r.task.step.job.rec.Id, "run stopped", Field{"why", why}, Field{"worker", r.ref.ID},
@@ -298,7 +298,7 @@
 
 func (s *Scheduler) stopAnswered(ev StopAnswered) {
 	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.current(ev.Order.RunID, ev.Order.Worker)
+	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
 	if r == nil || r.phase != phaseStopping {
 		return
 	}
@@ -308,7 +308,7 @@
 	case CallFenced:
 		s.emit(Deposed{Worker: r.ref.ID})
 	case CallOtherLife:
-		s.otherLife(r.worker)
+		s.otherIncarnation(r.worker)
 	default:
 		s.sendStop(r, stopRetry)
 	}
--- a/region/worker.go
+++ b/region/worker.go
@@ -18,33 +18,33 @@
 
 // worker is the leader's state of one worker.
 type worker struct {
-	entry       model.WorkerEntry
-	listed      bool
-	slot        int             // index of the worker in adviceState.marks
-	runs        []*run          // runs that may be alive there
-	used        model.Resources // resources of runs
-	counts      runCounts       // kinds of runs
-	clockMs     int64           // its clock as last read
-	clockAt     time.Duration   // time of that reading
-	leaseMs     int64           // end of the longest lease that may have been granted, on its clock
-	inherited   time.Duration   // latest end of leases granted by an earlier leader
-	fenced      bool            // it has answered a probe with the present fencing token
-	looking     bool            // a probe is in flight
-	missed      bool            // the newest probe got no answer
-	lossyTo     time.Duration   // lossyWait applies before this time
-	lookedAt    time.Duration   // when the newest answered probe was sent
-	lives       int64           // number of incarnations that have ended
-	lastEnd     int64           // highest number of an end that was applied
-	acked       int64           // highest number of an end whose record is in the log
-	pausedTo    time.Duration   // no new work before this time
-	orders      ordersOut       // start and stop calls without an answer
-	overdue     bool            // one of them is overdue, as of the newest pass
-	health      health
-	speed       speed
-	reserved    *step           // gang for which room is reserved here
-	kept        *step           // further gang for which room is reserved here against late work only
-	wasReserved *step           // reserved or kept in the previous pass
-	claimed     model.Resources // room for which steps request tickets in this pass
+	entry          model.WorkerEntry
+	listed         bool
+	slot           int             // index of the worker in adviceState.marks
+	runs           []*run          // runs that may be alive there
+	used           model.Resources // resources of runs
+	counts         runCounts       // kinds of runs
+	clockMs        int64           // its clock as last read
+	clockAt        time.Duration   // time of that reading
+	leaseMs        int64           // end of the longest lease that may have been granted, on its clock
+	inheritedUntil time.Duration   // latest end of leases granted by an earlier leader
+	fenced         bool            // it has answered a probe with the present fencing token
+	probing        bool            // a probe is in flight
+	probeMissed    bool            // the newest probe got no answer
+	lossyUntil     time.Duration   // lossyWait applies before this time
+	lookedAt       time.Duration   // when the newest answered probe was sent
+	incarnations   int64           // number of incarnations that have ended
+	lastEnd        int64           // highest number of an end that was applied
+	acked          int64           // highest number of an end whose record is in the log
+	pausedTo       time.Duration   // no new work before this time
+	orders         pendingOrders   // start and stop calls without an answer
+	overdue        bool            // one of them is overdue, as of the newest pass
+	health         health
+	speed          speed
+	reserved       *step           // gang for which room is reserved here
+	kept           *step           // further gang for which room is reserved here against late work only
+	wasReserved    *step           // reserved or kept in the previous pass
+	claimed        model.Resources // room for which steps request tickets in this pass
 }
 
 func (w *worker) ref() model.WorkerRef {
@@ -61,7 +61,7 @@
 // lapsesAt returns the time after which no run can be alive under a lease granted there.
 func (w *worker) lapsesAt() time.Duration {
 	if !w.fenced {
-		return w.inherited
+		return w.inheritedUntil
 	}
 	left := time.Duration(w.leaseMs-w.clockMs) * time.Millisecond
 	return w.clockAt + time.Duration(float64(left)/(1-clockDrift)) + lapseMargin
@@ -72,7 +72,7 @@
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
-		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.take(), orders: make(ordersOut), lives: s.departed.lives(id)}
+		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.take(), orders: make(pendingOrders), incarnations: s.departed.incarnations(id)}
 		s.workers[id] = w
 		s.order = append(s.order, w)
 		if s.leading() {
@@ -85,8 +85,8 @@
 // takeOver sets the latest end of the leases that an earlier leader may have granted the
 // worker, and sends the first probe.
 func (s *Scheduler) takeOver(w *worker) {
-	w.inherited = s.leadSince + logProofLife + s.maxLease() + lapseMargin
-	s.look(w, 0)
+	w.inheritedUntil = s.leadSince + logProofLife + s.maxLease() + lapseMargin
+	s.probe(w, 0)
 }
 
 // maxLease returns the longest duration of a lease on the leader's clock.
@@ -103,7 +103,7 @@
 	}
 	if w.entry.BornUnix != e.BornUnix && w.entry.BornUnix != 0 {
 		s.explain("", "worker has a new life", Field{"worker", e.ID}, Field{"runs_lost", len(w.runs)})
-		s.newLife(w)
+		s.endIncarnation(w)
 	}
 	if w.listed && e.Draining && !w.entry.Draining {
 		s.explain("", "worker drains", Field{"worker", e.ID}, Field{"runs", len(w.runs)})
@@ -113,9 +113,9 @@
 	}
 	w.entry = e
 	w.listed = true
-	s.loseEarlierRuns(w)
+	s.endEarlierRuns(w)
 	s.dirty = true
-	s.look(w, 0)
+	s.probe(w, 0)
 }
 
 // outdated reports whether an entry of the host list belongs to an earlier incarnation
@@ -127,7 +127,7 @@
 // probe finds that the known incarnation is over, or its leases end, and the entry is
 // accepted when it is read again.
 func (w *worker) outdated(e model.WorkerEntry) bool {
-	if e.BornUnix < w.entry.BornUnix && w.fenced && !w.missed {
+	if e.BornUnix < w.entry.BornUnix && w.fenced && !w.probeMissed {
 		return true
 	}
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.ref.BornUnix > e.BornUnix })
@@ -143,14 +143,14 @@
 		for _, r := range w.runs {
 			r.calls.settle() // the new process refuses calls that name the earlier id
 		}
-		s.newLife(w)
+		s.endIncarnation(w)
 		w.listed = false
 	}
 }
 
 // endEarlierRuns ends the runs of other incarnations of the worker, including those that
 // an earlier leader assigned.
-func (s *Scheduler) loseEarlierRuns(w *worker) {
+func (s *Scheduler) endEarlierRuns(w *worker) {
 	for _, r := range w.sortedRuns() {
 		if r.ref.BornUnix != w.entry.BornUnix {
 			s.abandon(r, "its worker has a new life")
@@ -161,28 +161,28 @@
 // endIncarnation ends the runs of the worker's incarnation and resets its state, after
 // another incarnation has begun, under the same id or at the same address. The log messages
 // call an incarnation a life.
-func (s *Scheduler) newLife(w *worker) {
+func (s *Scheduler) endIncarnation(w *worker) {
 	for _, r := range w.sortedRuns() {
 		s.abandon(r, "its worker has a new life")
 	}
 	w.clockMs, w.leaseMs, w.lastEnd, w.acked = 0, 0, 0, 0
-	w.inherited = s.now + s.maxLease() + lapseMargin
+	w.inheritedUntil = s.now + s.maxLease() + lapseMargin
 	w.fenced = false
-	w.lives++
+	w.incarnations++
 	w.health = health{}
 	w.speed = speed{}
 }
 
 // incarnationBits is the number of low bits of a fencing token that hold the worker's
 // incarnation count.
-const livesBits = 16
+const incarnationBits = 16
 
 // fenceOf returns the fencing token of calls to a worker. It rises with each leader, and
 // with each new incarnation of the worker under the same id. Calls to an earlier
 // incarnation end with its connections (package lifeconn). If the network delivers one to
 // the new incarnation nevertheless, that refuses it once it has answered its first probe;
 // mayStartLate covers starts that arrive before.
-func (s *Scheduler) fenceOf(w *worker) int64 { return s.fence<<livesBits | w.lives }
+func (s *Scheduler) fenceOf(w *worker) int64 { return s.fence<<incarnationBits | w.incarnations }
 
 func (s *Scheduler) workerUnlisted(id string) {
 	w, known := s.workers[id]
@@ -196,7 +196,7 @@
 // forget removes a worker that has left and has no runs.
 func (s *Scheduler) forget(w *worker) {
 	delete(s.workers, w.entry.ID)
-	s.departed.add(w.entry.ID, w.lives+1, s.now)
+	s.departed.add(w.entry.ID, w.incarnations+1, s.now)
 	s.slots.giveBack(w.slot)
 	for i, o := range s.order {
 		if o == w {
@@ -233,12 +233,12 @@
 		w := s.order[i]
 		if len(w.runs) > 0 && s.now > w.lapsesAt() && !s.delayedByLink(w) {
 			for _, r := range w.sortedRuns() {
-				if r.phase != phaseInDoubt {
-					s.lose(r, "its lease is over")
+				if r.phase != phaseLateStart {
+					s.markLost(r, "its lease is over")
 				}
 			}
 		}
-		if !w.listed && len(w.runs) == 0 && !w.looking {
+		if !w.listed && len(w.runs) == 0 && !w.probing {
 			s.forget(w)
 		}
 	}
