--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -10,7 +10,7 @@
 // Guards against a leader that does not recover after a burst of work. The burst keeps its
 // processor busy, and every answer waits. Probes at their normal rate are half of its
 // calls: starts and calls for advice wait behind them, time out and are retried.
-func TestLooksArePacedWhileEventsWait(t *testing.T) {
+func TestProbesSlowDownWhileEventsWait(t *testing.T) {
 	pause := func(behind time.Duration) time.Duration {
 		s, now := backlog(1, 0, 0)
 		for range 20 * behindMemory {
@@ -39,7 +39,7 @@
 // Guards against treating a slow log as unavailable. Every append takes 0.4 s. If
 // assignments stopped after the fixed limit, each append would carry only the work of the
 // first quarter of a second, and the rest would wait for the next one.
-func TestSlowLogIsNotTakenForALostOne(t *testing.T) {
+func TestSlowLogIsNotStalled(t *testing.T) {
 	const append = 400 * time.Millisecond
 	s := New(testOptions())
 	s.Step(time.Hour, Lead{Fence: 1})
@@ -60,7 +60,7 @@
 // starts and appends wait behind them, answers are late, leases of pressing work lapse, and
 // lapsed runs are started again. Probes slow down as the link fills, and leases become long
 // enough for late renewals.
-func TestLooksArePacedWhileTheLinkIsFull(t *testing.T) {
+func TestProbesSlowDownAndLeasesLengthenOnFullLink(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := backlog(1, 0, 0)
 		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
@@ -80,7 +80,7 @@
 // Guards against starts and calls for advice over an overfull link of the leader, which
 // would delay the lease renewals of running tasks. Nothing is started until the link has
 // capacity again, and then it is.
-func TestNothingIsStartedOverAFullLink(t *testing.T) {
+func TestNoStartsOverFullLink(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.linkLoad = 1.2
 	w.run(100 * time.Millisecond)
--- a/region/doubt_test.go
+++ b/region/doubt_test.go
@@ -46,7 +46,7 @@
 
 // Guards against a task that runs twice: its start is executed in its worker's third
 // incarnation, after the second one has answered a probe and listed no run.
-func TestStartInTheThirdLife(t *testing.T) {
+func TestLateStartInThirdIncarnation(t *testing.T) {
 	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	crash(w, fw)
 	w.run(time.Second)
@@ -67,7 +67,7 @@
 
 // Guards against the same under a new leader, which does not know the outcome of the calls of
 // the earlier one.
-func TestInheritedStartInTheNextLife(t *testing.T) {
+func TestInheritedLateStartInNextIncarnation(t *testing.T) {
 	w, fw := lateStartWorld(t, 4*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
 	w.run(500 * time.Millisecond)
@@ -89,7 +89,7 @@
 }
 
 // Guards against a task that waits without limit for a start that is never executed.
-func TestDoubtEnds(t *testing.T) {
+func TestWaitForLateStartEnds(t *testing.T) {
 	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	crash(w, fw)
 	w.run(lateCallWindow + 15*time.Second)
@@ -98,7 +98,7 @@
 
 // Guards against a wait for a late start that ends too soon: the next incarnation does not
 // answer, and any lease of it is over before the start can no longer be executed.
-func TestDoubtOutlivesTheLeaseOfTheNextLife(t *testing.T) {
+func TestWaitForLateStartOutlastsNextLease(t *testing.T) {
 	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
 	crash(w, fw)
@@ -111,7 +111,7 @@
 
 // Guards against a wait for a start that no later incarnation accepts: its ticket is valid
 // only in the incarnation for which it was issued.
-func TestStartWithTicketIsNotWaitedFor(t *testing.T) {
+func TestNoWaitForLateStartWithTicket(t *testing.T) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return 10 * time.Second }
 	fw := w.addWorker("w1", 8)
@@ -133,7 +133,7 @@
 
 // Guards against a wait for a start at an address that now belongs to another worker, which
 // refuses calls that name the earlier id.
-func TestAddressTakenByAnotherWorker(t *testing.T) {
+func TestNoWaitForLateStartAtReassignedAddress(t *testing.T) {
 	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	next := fw.entry
 	next.ID, next.BornUnix = "w3", 2
@@ -147,7 +147,7 @@
 
 // Guards against a member of a gang that keeps its room without limit: its start is executed
 // after the other members were stopped.
-func TestLateMemberOfAGangIsStopped(t *testing.T) {
+func TestLateGangMemberIsStopped(t *testing.T) {
 	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 2, Gang: true})
 	w.stopLeading()
 	w.run(inFlightTime)
@@ -170,7 +170,7 @@
 // Guards against a task that runs again after it was done: its start was executed late, in
 // its worker's next incarnation, and a new leader would end the run together with the
 // earlier incarnation.
-func TestLateRunIsTakenOver(t *testing.T) {
+func TestAdoptedLateStartIsRecorded(t *testing.T) {
 	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	w.stopLeading()
 	w.run(inFlightTime)
@@ -190,7 +190,7 @@
 // Guards against an end that is acknowledged before it is read: its worker left, was removed
 // and came back under its id, and a probe of the earlier incarnation would have the fencing
 // token of the new one.
-func TestTokenRisesAfterAWorkerWasForgotten(t *testing.T) {
+func TestFencingTokenRisesAfterWorkerIsRemoved(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 8)
 	w.lead()
@@ -214,7 +214,7 @@
 
 // Guards against a task that is started elsewhere while one of two starts of its run may still
 // be executed: the other one was executed, and the worker lists its end.
-func TestEndOfARunThatWasStartedTwice(t *testing.T) {
+func TestWaitForLateStartAfterSecondStartEnds(t *testing.T) {
 	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
 	r := w.sched.findTask(id).run
@@ -232,7 +232,7 @@
 
 // Guards against a wait for a late start of a speculative task, of which several copies may
 // run at the same time.
-func TestSpeculativeStartIsNotWaitedFor(t *testing.T) {
+func TestNoWaitForSpeculativeLateStart(t *testing.T) {
 	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1, Speculative: true})
 	crash(w, fw)
 	w.run(500 * time.Millisecond)
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -53,7 +53,7 @@
 // at a steady rate in a region full of slow ones. Urgent tasks of a second are needed within
 // three seconds and must run again elsewhere long before the partition ends; with leases as
 // long as the partition, all were too late.
-func TestUrgentWorkIsRunAgainWhileItsWorkerIsCutOff(t *testing.T) {
+func TestUrgentTasksRerunDuringPartition(t *testing.T) {
 	w := mixedWorld(t, 8)
 	done := make(map[string]time.Duration)
 	var at []time.Duration
@@ -92,7 +92,7 @@
 
 // Guards against restarting slow tasks, which would lose their progress, when their worker
 // is unreachable for 5 s. They must continue and be listed after the partition.
-func TestSlowWorkOutlivesACut(t *testing.T) {
+func TestSlowTasksSurvivePartition(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return 8 * time.Second }
 	w.submitTo(slowJob("s", 32), "slow")
@@ -112,7 +112,7 @@
 // Guards against slow tasks that fill all remaining room, so that urgent ones soon share
 // every worker with them and get their long leases. Slow tasks avoid workers with urgent
 // ones while they have slack and there is other room, and use any room afterwards.
-func TestSlowWorkKeepsOffUrgentWork(t *testing.T) {
+func TestSlowTasksAvoidWorkersWithUrgentTasks(t *testing.T) {
 	w := mixedWorld(t, 4)
 	for i := range 100 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -131,7 +131,7 @@
 
 // Guards against an urgent task on a worker whose lease is still a long one because a slow
 // task there has just ended, while another idle worker has a short lease.
-func TestUrgentWorkAvoidsLeasesLeftBehind(t *testing.T) {
+func TestUrgentTasksAvoidLongLeases(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return time.Second }
 	w.submitTo(slowJob("s", 1), "slow")
@@ -152,7 +152,7 @@
 
 // Guards against a long lease for an urgent task whose declared run time is far too long. It
 // is as urgent as the other tasks of its queue and gets a short lease.
-func TestDeclaredTimesDoNotMakeUrgentWorkPatient(t *testing.T) {
+func TestOverestimatedRunTimeKeepsShortLease(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -172,7 +172,7 @@
 // Probes detect the worker after a second; until then it appears increasingly idle and
 // would get job after job, each stuck until its lease is over. After the first start without
 // an answer in time, the next jobs must go elsewhere.
-func TestOverdueAnswerStopsNewWork(t *testing.T) {
+func TestOverdueAnswerStopsPlacement(t *testing.T) {
 	w := mixedWorld(t, 5)
 	urgent := func(i int) {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
--- a/region/life_test.go
+++ b/region/life_test.go
@@ -32,7 +32,7 @@
 //	assigned               a          workers [w2]
 //
 // An incarnation that answers probes is not over, whatever the list says.
-func TestEntryOfAnEarlierLifeComesLate(t *testing.T) {
+func TestStaleHostListEntryIsIgnored(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
 	w.tell(WorkerListed{Entry: earlier})
@@ -45,7 +45,7 @@
 // Guards against the same with a leader elected after that write: it reads the first
 // incarnation in the host list, and in the log a run assigned to the second one. That run
 // counts as alive until a probe or the end of its lease shows that it is over.
-func TestNewLeaderFindsAnEarlierLifeListed(t *testing.T) {
+func TestNewLeaderReadsStaleHostListEntry(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
 	w.stopLeading()
@@ -65,7 +65,7 @@
 // Guards against a worker that gets no more work after its time of day was set back, so that
 // its next incarnation has an earlier birth time. Probes find that the earlier incarnation
 // is over.
-func TestLifeBornBeforeTheEarlierOne(t *testing.T) {
+func TestIncarnationWithEarlierBirthTime(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 1)
 	fw.entry.BornUnix = 1000
@@ -85,7 +85,7 @@
 // incarnation of a worker, no end of it is read, and a new leader finds the worker in its
 // next incarnation. The run is over, and the task runs again at once: its start was answered,
 // so that no start call of it can be executed any more.
-func TestInheritedRunOfAnEarlierLife(t *testing.T) {
+func TestInheritedRunOfEarlierIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
 	fw := w.addWorker("w1", 1)
