--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -13,7 +13,7 @@
 func TestProbesSlowDownWhileEventsWait(t *testing.T) {
 	pause := func(behind time.Duration) time.Duration {
 		s, now := backlog(1, 0, 0)
-		for range 20 * behindMemory {
+		for range 20 * delaySamples {
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
 		}
 		order := model.HoldOrder{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
--- a/region/look.go
+++ b/region/look.go
@@ -35,7 +35,7 @@
 	overfullLink = 1.0
 	// delaySamples is the number of ticks, of 20 ms each, in the running mean of the
 	// delay of events.
-	behindMemory = 16
+	delaySamples = 16
 	// probeRetry is the pause after a failed probe.
 	probeRetry = 150 * time.Millisecond
 	// maxEndsListed is the largest number of ends in one answer. A full list may be
--- a/region/region.go
+++ b/region/region.go
@@ -261,7 +261,7 @@
 
 func (s *Scheduler) tick(ev Tick) {
 	s.unixMs = ev.UnixMs
-	s.behind += (ev.Behind - s.behind) / behindMemory
+	s.behind += (ev.Behind - s.behind) / delaySamples
 	s.linkLoad = ev.LinkLoad
 	if s.linkLoad > fullLink {
 		s.fullAt = s.now
