--- a/region/look.go
+++ b/region/look.go
@@ -70,7 +70,7 @@
 	s.emit(Hold{Order: order, After: after})
 }
 
-func (s *Scheduler) held(ev Held) {
+func (s *Scheduler) probeAnswered(ev Held) {
 	w, known := s.workers[ev.Order.Worker.ID]
 	if !known {
 		return
--- a/region/region.go
+++ b/region/region.go
@@ -155,7 +155,7 @@
 	case Logged:
 		s.onLogged(ev)
 	case Held:
-		s.held(ev)
+		s.probeAnswered(ev)
 	case StartAnswered:
 		s.startAnswered(ev)
 	case StopAnswered:
