--- a/region/worker.go
+++ b/region/worker.go
@@ -10,7 +10,7 @@
 const (
 	// maxProbeAge is the largest age of a worker's newest answered probe for which new
 	// work is placed there: a wait and a round trip, with one lost answer.
-	reachable = 1500 * time.Millisecond
+	maxProbeAge = 1500 * time.Millisecond
 	// unhealthyPause is how long a worker that refused a start because of its own state
 	// gets no new work.
 	unhealthyPause = 500 * time.Millisecond
