--- a/region/advice.go
+++ b/region/advice.go
@@ -75,19 +75,19 @@
 // with advice has few; skipping the others makes a scheduling pass over a region of 350
 // workers several times cheaper (BenchmarkPass).
 func (s *Scheduler) candidates(st *step) []*worker {
-	if st.advised() {
+	if st.needsAdvice() {
 		return st.advice.good
 	}
 	return s.order
 }
 
 // needsAdvice reports whether the step's tasks need a ticket of the advice service.
-func (st *step) advised() bool { return st.job.rec.Policy.GetAdvice() != nil }
+func (st *step) needsAdvice() bool { return st.job.rec.Policy.GetAdvice() != nil }
 
 // ticketHolds reports whether the step needs no ticket, or has a valid one for the
 // worker.
 func (st *step) ticketHolds(w *worker, now time.Duration) bool {
-	if !st.advised() {
+	if !st.needsAdvice() {
 		return true
 	}
 	m := st.advice.mark(w)
@@ -97,7 +97,7 @@
 // ruledOut reports whether the advice service answered that the worker may not run
 // the step.
 func (st *step) ruledOut(w *worker) bool {
-	if !st.advised() {
+	if !st.needsAdvice() {
 		return false
 	}
 	m := st.advice.mark(w)
@@ -109,7 +109,7 @@
 // Repeated calls for steps without room would keep the advice service busy with answers
 // that are never used, and delay the steps that could start.
 func (s *Scheduler) wantAdvice(st *step) {
-	if st.advised() {
+	if st.needsAdvice() {
 		room := s.claimRoom(st)
 		if s.canRequestAdvice(st) {
 			s.requestAdvice(st, room)
@@ -120,7 +120,7 @@
 // requestFirstAdvice requests advice for a step that has none and no room yet, if a
 // host's backlog at the advice service permits it.
 func (s *Scheduler) wantFirstAdvice(st *step) {
-	if st.advised() && st.advice.known == 0 && s.canRequestAdvice(st) {
+	if st.needsAdvice() && st.advice.known == 0 && s.canRequestAdvice(st) {
 		s.requestAdvice(st, false)
 	}
 }
--- a/region/doubt.go
+++ b/region/doubt.go
@@ -66,7 +66,7 @@
 func (s *Scheduler) mayStartLate(r *run) bool {
 	st := r.task.step
 	switch {
-	case st.advised() || st.rec.Speculative:
+	case st.needsAdvice() || st.rec.Speculative:
 		return false
 	case r.calls.inherited:
 		return !s.leading() || s.now < s.leadSince+lateCallWindow
@@ -129,7 +129,7 @@
 // leader need not wait for one. Runs with tickets never start late and need no record.
 func (s *Scheduler) recordSettled(r *run) {
 	st := r.task.step
-	if r.calls.recorded || st.advised() || st.rec.Speculative || s.mayStartLate(r) {
+	if r.calls.recorded || st.needsAdvice() || st.rec.Speculative || s.mayStartLate(r) {
 		return
 	}
 	r.calls.recorded = true
--- a/region/place.go
+++ b/region/place.go
@@ -93,7 +93,7 @@
 			s.scratch = append(s.scratch, w)
 		}
 	}
-	if st.advised() && len(s.candidates(st)) == 0 {
+	if st.needsAdvice() && len(s.candidates(st)) == 0 {
 		return nil, reasonNames[rejectAdvice]
 	}
 	return s.scratch, counts.summary()
