--- a/region/advice.go
+++ b/region/advice.go
@@ -268,7 +268,7 @@
 	}
 }
 
-func (s *Scheduler) advised(ev Advised) {
+func (s *Scheduler) adviceAnswered(ev Advised) {
 	s.noteAdviceCall(ev)
 	t := s.findTask(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
 	if t == nil {
--- a/region/region.go
+++ b/region/region.go
@@ -161,7 +161,7 @@
 	case StopAnswered:
 		s.stopAnswered(ev)
 	case Advised:
-		s.advised(ev)
+		s.adviceAnswered(ev)
 	case HostsSeen:
 		s.advisers.set(ev.Hosts, s.now)
 	case Tick:
