--- a/region/advice.go
+++ b/region/advice.go
@@ -108,7 +108,7 @@
 // use them: first about all workers, later about the eligible ones whose tickets expire.
 // Repeated calls for steps without room would keep the advice service busy with answers
 // that are never used, and delay the steps that could start.
-func (s *Scheduler) wantAdvice(st *step) {
+func (s *Scheduler) refreshAdvice(st *step) {
 	if st.needsAdvice() {
 		room := s.claimRoom(st)
 		if s.canRequestAdvice(st) {
--- a/region/pass.go
+++ b/region/pass.go
@@ -219,7 +219,7 @@
 			gangs++
 			s.reserve(st, gangs <= reservedGangs)
 		}
-		s.wantAdvice(st)
+		s.refreshAdvice(st)
 	}
 	if tries < headTries+tailTries {
 		s.turns[c] = 0
