--- a/region/advice.go
+++ b/region/advice.go
@@ -119,7 +119,7 @@
 
 // requestFirstAdvice requests advice for a step that has none and no room yet, if a
 // host's backlog at the advice service permits it.
-func (s *Scheduler) wantFirstAdvice(st *step) {
+func (s *Scheduler) requestFirstAdvice(st *step) {
 	if st.needsAdvice() && st.advice.known == 0 && s.canRequestAdvice(st) {
 		s.requestAdvice(st, false)
 	}
--- a/region/pass.go
+++ b/region/pass.go
@@ -197,7 +197,7 @@
 			st.blocked = reasonNames[rejectRoom]
 			s.makeRoom(st)
 			if c <= classExcess {
-				s.wantFirstAdvice(st)
+				s.requestFirstAdvice(st)
 			}
 			continue
 		}
