--- a/region/advice.go
+++ b/region/advice.go
@@ -26,7 +26,7 @@
 type adviceState struct {
 	marks    []adviceMark // by the worker's slot
 	known    int          // number of workers with an answer
-	good     []*worker    // those of them that may run the step
+	eligible []*worker    // those of them that may run the step
 	inFlight bool
 	firstAt  time.Duration // time of the first answer
 	retryAt  time.Duration
@@ -60,7 +60,7 @@
 		a.known++
 	}
 	if m.good && (old == nil || !old.good) {
-		a.good = append(a.good, m.worker)
+		a.eligible = append(a.eligible, m.worker)
 	}
 	a.marks[m.worker.slot] = m
 }
@@ -76,7 +76,7 @@
 // workers several times cheaper (BenchmarkPass).
 func (s *Scheduler) candidates(st *step) []*worker {
 	if st.needsAdvice() {
-		return st.advice.good
+		return st.advice.eligible
 	}
 	return s.order
 }
--- a/region/job.go
+++ b/region/job.go
@@ -304,7 +304,7 @@
 	}
 	s.learnFromStep(st)
 	s.dequeue(st)
-	st.advice.marks, st.advice.good = nil, nil
+	st.advice.marks, st.advice.eligible = nil, nil
 	if st.occ.open > 0 {
 		s.openSteps(st.occ)
 		return
