--- a/region/advice.go
+++ b/region/advice.go
@@ -35,10 +35,10 @@
 // adviceMark is the advice service's answer about one worker. The set of workers that
 // are eligible for a step never changes; tickets expire.
 type adviceMark struct {
-	worker *worker // nil without an answer
-	good   bool
-	ticket string
-	until  time.Duration
+	worker   *worker // nil without an answer
+	eligible bool
+	ticket   string
+	until    time.Duration
 }
 
 // mark returns the answer about a worker, or nil if there is none. Slots are reused, so
@@ -59,7 +59,7 @@
 	if old == nil {
 		a.known++
 	}
-	if m.good && (old == nil || !old.good) {
+	if m.eligible && (old == nil || !old.eligible) {
 		a.eligible = append(a.eligible, m.worker)
 	}
 	a.marks[m.worker.slot] = m
@@ -91,7 +91,7 @@
 		return true
 	}
 	m := st.advice.mark(w)
-	return m != nil && m.good && now < m.until
+	return m != nil && m.eligible && now < m.until
 }
 
 // ruledOut reports whether the advice service answered that the worker may not run
@@ -101,7 +101,7 @@
 		return false
 	}
 	m := st.advice.mark(w)
-	return m != nil && !m.good
+	return m != nil && !m.eligible
 }
 
 // refreshAdvice requests advice for the step if it lacks valid tickets and has room to
@@ -237,7 +237,7 @@
 		switch {
 		case m == nil:
 			unknown++
-		case m.good && m.until < neededUntil:
+		case m.eligible && m.until < neededUntil:
 			stale++
 		default:
 			continue
@@ -297,7 +297,7 @@
 			continue // it has left the host list since the call
 		}
 		ticket, good := tickets[id]
-		m := adviceMark{worker: w, good: good, ticket: ticket}
+		m := adviceMark{worker: w, eligible: good, ticket: ticket}
 		if good {
 			m.until = until
 		}
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -36,7 +36,7 @@
 		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
 		for n, w := range s.order {
-			st.advice.note(adviceMark{worker: w, good: (n+i)%3 == 0})
+			st.advice.note(adviceMark{worker: w, eligible: (n+i)%3 == 0})
 		}
 	}
 	return s, now
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -15,7 +15,7 @@
 	s, now := backlog(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.order[0]
-	st.advice.note(adviceMark{worker: left, good: true, ticket: "t", until: now + time.Second})
+	st.advice.note(adviceMark{worker: left, eligible: true, ticket: "t", until: now + time.Second})
 	if !st.ticketHolds(left, now) {
 		t.Fatal("the ticket does not hold on the worker that it is of")
 	}
