--- a/region/advice.go
+++ b/region/advice.go
@@ -11,7 +11,7 @@
 	// reach the leader, and the start to reach the worker.
 	adviceMargin = 200 * time.Millisecond
 	// maxAdviceWorkers is the largest number of workers in one call for advice.
-	maxAsked = 100
+	maxAdviceWorkers = 100
 	// minAdviceWorkers is the smallest limit on the workers in one call. Workers with
 	// room come first; further calls name more if these are not enough.
 	minAdviceWorkers = 12
@@ -151,13 +151,13 @@
 // and each call costs the leader as much as a start.
 func (st *step) maxWorkersPerCall() int {
 	if st.rec.Gang {
-		return maxAsked
+		return maxAdviceWorkers
 	}
 	most := max(minAdviceWorkers, adviceWorkersPerTask*len(st.tasks))
 	if a := st.job.rec.Policy.GetAdvice(); a.GetEachMs() > 0 {
 		most = max(most, int(a.GetDecideMs()/a.GetEachMs()))
 	}
-	return min(maxAsked, most)
+	return min(maxAdviceWorkers, most)
 }
 
 func (s *Scheduler) requestAdvice(st *step, room bool) {
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -32,7 +32,7 @@
 	var costs []queueCost
 	for i := range c.Queues {
 		if a := c.Queues[i].Policy.GetAdvice(); a != nil {
-			costs = append(costs, queueCost{c.Queues[i].Name, a.GetDecideMs() + a.GetEachMs()*maxAsked})
+			costs = append(costs, queueCost{c.Queues[i].Name, a.GetDecideMs() + a.GetEachMs()*maxAdviceWorkers})
 		}
 	}
 	slices.SortFunc(costs, func(a, b queueCost) int {
