--- a/region/doubt.go
+++ b/region/doubt.go
@@ -93,7 +93,7 @@
 }
 
 // resolveLateStarts ends the runs of awaitLateStart that can no longer start.
-func (s *Scheduler) resolveDoubts() {
+func (s *Scheduler) resolveLateStarts() {
 	if len(s.doubts) == 0 {
 		return
 	}
--- a/region/region.go
+++ b/region/region.go
@@ -271,7 +271,7 @@
 	}
 	s.startOccurrences()
 	s.expireRuns()
-	s.resolveDoubts()
+	s.resolveLateStarts()
 	s.departed.expire(s.now)
 	s.retireJobs()
 	s.rewriteOld()
