--- a/region/end.go
+++ b/region/end.go
@@ -22,13 +22,13 @@
 		Field{"step", t.step.index}, Field{"task", t.index}, Field{"run", r.number},
 		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.lookedAt).Milliseconds()})
 	s.release(r)
-	s.endOf(t, r.number, record.Outcome_OUTCOME_LOST, "")
+	s.recordEnd(t, r.number, record.Outcome_OUTCOME_LOST, "")
 	s.breakGang(t, r.number)
 	s.publish(t.step.job)
 }
 
 // recordEnd appends the end of a run to the log and applies it.
-func (s *Scheduler) endOf(t *task, number int32, outcome record.Outcome, checkpoint string) {
+func (s *Scheduler) recordEnd(t *task, number int32, outcome record.Outcome, checkpoint string) {
 	s.append(&record.Entry{Kind: &record.Entry_Ended{Ended: &record.Ended{
 		Task: t.id().Record(), Run: number, Outcome: outcome, Checkpoint: checkpoint,
 	}}})
@@ -65,7 +65,7 @@
 		return
 	}
 	t.lastRun = max(t.lastRun, e.Run)
-	s.endOf(t, e.Run, e.Outcome, e.Checkpoint)
+	s.recordEnd(t, e.Run, e.Outcome, e.Checkpoint)
 	if e.Outcome == record.Outcome_OUTCOME_FAILED {
 		s.explain(e.Task.Job, "run failed", Field{"worker", w.entry.ID}, Field{"step", e.Task.Step},
 			Field{"task", e.Task.Index}, Field{"run", e.Run}, Field{"attempts", t.attempts})
--- a/region/gang.go
+++ b/region/gang.go
@@ -14,7 +14,7 @@
 		if m.run != nil && m.run.number == number {
 			s.release(m.run)
 		}
-		s.endOf(m, number, record.Outcome_OUTCOME_DONE, "")
+		s.recordEnd(m, number, record.Outcome_OUTCOME_DONE, "")
 	}
 }
 
