--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -8,7 +8,7 @@
 // A task is done, its worker lists the end, and the answer that tells of it waits in the
 // leader's own full link for longer than the lease. The leader took the run for dead and
 // started the task again. It waits for the worker as long as its link is full, but no
-// longer than congestedPatience: the worker may really be gone.
+// longer than maxExpiryDelay: the worker may really be gone.
 func TestLeaseThatEndsWhileTheLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
@@ -30,7 +30,7 @@
 	if got := lostAfter(0); got > time.Second {
 		t.Errorf("lost %v after the end of its lease with the link free", got)
 	}
-	if got := lostAfter(1); got < congestedPatience/2 || got > congestedPatience+time.Second {
-		t.Errorf("lost %v after the end of its lease with the link full, want some %v", got, congestedPatience)
+	if got := lostAfter(1); got < maxExpiryDelay/2 || got > maxExpiryDelay+time.Second {
+		t.Errorf("lost %v after the end of its lease with the link full, want some %v", got, maxExpiryDelay)
 	}
 }
--- a/region/worker.go
+++ b/region/worker.go
@@ -212,7 +212,7 @@
 	congestedFor = time.Second
 	// maxExpiryDelay bounds for how long after the end of a lease its runs are kept because
 	// the link was full.
-	congestedPatience = 3 * time.Second
+	maxExpiryDelay = 3 * time.Second
 )
 
 // delayedByLink reports whether a worker's answers may be missing because the leader's own
@@ -223,7 +223,7 @@
 // lease is over. The guard lasts for as long as answers usually wait there, and has no
 // effect while the link is not full.
 func (s *Scheduler) delayedByLink(w *worker) bool {
-	return s.fullAt > 0 && s.now-s.fullAt < congestedFor && s.now < w.lapsesAt()+congestedPatience
+	return s.fullAt > 0 && s.now-s.fullAt < congestedFor && s.now < w.lapsesAt()+maxExpiryDelay
 }
 
 // expireRuns ends the runs on workers whose leases are over even with the largest clock
