--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -54,7 +54,7 @@
 					now += time.Microsecond
 					s.provenAt, s.dirty, s.lastPass = now, true, 0
 					for _, w := range s.order {
-						w.lookedAt = now
+						w.probedAt = now
 					}
 					s.Step(now, Schedule{})
 				}
--- a/region/end.go
+++ b/region/end.go
@@ -20,7 +20,7 @@
 	t := r.task
 	s.explain(t.step.job.rec.Id, "run lost", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", t.step.index}, Field{"task", t.index}, Field{"run", r.number},
-		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.lookedAt).Milliseconds()})
+		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.probedAt).Milliseconds()})
 	s.release(r)
 	s.recordEnd(t, r.number, record.Outcome_OUTCOME_LOST, "")
 	s.breakGang(t, r.number)
--- a/region/look.go
+++ b/region/look.go
@@ -139,7 +139,7 @@
 		w.leaseMs = max(w.leaseMs, ev.Hold.ClockMs+s.opts.MaxLease.Milliseconds())
 		s.dirty = true
 	}
-	w.lookedAt = max(w.lookedAt, ev.SentAt)
+	w.probedAt = max(w.probedAt, ev.SentAt)
 	for _, e := range ev.Hold.Ended {
 		s.readEnd(w, e)
 	}
--- a/region/worker.go
+++ b/region/worker.go
@@ -32,7 +32,7 @@
 	probing        bool            // a probe is in flight
 	probeMissed    bool            // the newest probe got no answer
 	lossyUntil     time.Duration   // lossyWait applies before this time
-	lookedAt       time.Duration   // when the newest answered probe was sent
+	probedAt       time.Duration   // when the newest answered probe was sent
 	incarnations   int64           // number of incarnations that have ended
 	lastEnd        int64           // highest number of an end that was applied
 	acked          int64           // highest number of an end whose record is in the log
