--- a/region/place.go
+++ b/region/place.go
@@ -155,7 +155,7 @@
 // usable reports whether new work may go to the worker at all.
 func (s *Scheduler) usable(w *worker) bool {
 	return w.listed && !w.entry.Draining && w.fenced && !w.overdue &&
-		s.now-w.probedAt < maxProbeAge && s.now >= w.pausedTo && w.health.trusted(s.now)
+		s.now-w.probedAt < maxProbeAge && s.now >= w.pausedUntil && w.health.trusted(s.now)
 }
 
 // runsOn counts the runs of the step on the worker.
--- a/region/run.go
+++ b/region/run.go
@@ -222,11 +222,11 @@
 	case CallOtherLife, CallFenced:
 		s.otherIncarnation(r.worker)
 	case CallRefused:
-		r.worker.pausedTo = s.now + unhealthyPause
+		r.worker.pausedUntil = s.now + unhealthyPause
 		r.worker.health.refused(s.now)
 		s.abortStart(r, "its worker refused")
 	case CallNoRoom:
-		r.worker.pausedTo = s.now + unhealthyPause
+		r.worker.pausedUntil = s.now + unhealthyPause
 		s.abortStart(r, "its worker had no room")
 	case CallNoTicket:
 		r.task.step.advice.expire(r.worker)
@@ -239,7 +239,7 @@
 		s.sendStart(r, startRetry)
 		return
 	}
-	r.worker.pausedTo = s.now + unhealthyPause
+	r.worker.pausedUntil = s.now + unhealthyPause
 	s.abortStart(r, "its worker did not answer")
 }
 
--- a/region/worker.go
+++ b/region/worker.go
@@ -36,7 +36,7 @@
 	incarnations   int64           // number of incarnations that have ended
 	lastEnd        int64           // highest number of an end that was applied
 	acked          int64           // highest number of an end whose record is in the log
-	pausedTo       time.Duration   // no new work before this time
+	pausedUntil    time.Duration   // no new work before this time
 	orders         pendingOrders   // start and stop calls without an answer
 	overdue        bool            // one of them is overdue, as of the newest pass
 	health         health
