--- a/region/overdue.go
+++ b/region/overdue.go
@@ -49,9 +49,9 @@
 	if !known || err == CallNoAnswer || err == CallNotSent {
 		return
 	}
-	if at, out := w.orders[id]; out {
+	if at, out := w.pendingOrders[id]; out {
 		s.usualAnswer += (s.now - at - s.usualAnswer) / answerSamples
-		delete(w.orders, id)
+		delete(w.pendingOrders, id)
 	}
 }
 
--- a/region/run.go
+++ b/region/run.go
@@ -116,7 +116,7 @@
 	t.run = nil
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
 	r.worker.counts.add(r.pressing, -1)
-	delete(r.worker.orders, r.id())
+	delete(r.worker.pendingOrders, r.id())
 	r.worker.used = r.worker.used.Sub(r.room)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Sub(t.step.request)
@@ -166,7 +166,7 @@
 	r.phase = phaseSending
 	r.startAttempts++
 	r.calls.sent(s.now + after)
-	r.worker.orders.sent(r.id(), s.now+after)
+	r.worker.pendingOrders.sent(r.id(), s.now+after)
 	s.emit(Start{After: after, Order: model.StartOrder{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
@@ -290,7 +290,7 @@
 }
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
-	r.worker.orders.sent(r.id(), s.now+after)
+	r.worker.pendingOrders.sent(r.id(), s.now+after)
 	s.emit(Stop{After: after, Order: model.StopOrder{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
