--- a/region/doubt.go
+++ b/region/doubt.go
@@ -74,9 +74,9 @@
 	return r.calls.mayExecute(s.now)
 }
 
-// awaitLateStart keeps a run that its worker reports as over while a start call of it may
-// still be executed. Until then the task is not started again, and the run counts towards
-// the workspace's cap. The log message is "run in doubt".
+// awaitLateStart defers the end of a run while a start call of it may still be executed. In
+// that time the task is not started again, and the run counts towards the workspace's cap.
+// The log message is "run in doubt".
 func (s *Scheduler) awaitLateStart(r *run, why string) {
 	if r.phase == phaseLateStart {
 		return
--- a/region/look.go
+++ b/region/look.go
@@ -15,10 +15,10 @@
 	// last lossyWindow: where answers are lost, a short wait detects it sooner.
 	lossyWait   = 150 * time.Millisecond
 	lossyWindow = 5 * time.Second
-	// probeGap is the shortest pause between two probes of a worker. It lets several
-	// ends share a probe, which costs about 1% of a small task's worth. 100 ms are a
-	// sixth of the slack of the shortest tasks. A day of low load has 11,300 probes with
-	// 60 ms and 9,100 with 130 ms.
+	// probeGap is the shortest pause after an answered probe. It lets several ends share a
+	// probe, which costs about 1% of a small task's worth. 100 ms are a sixth of the slack
+	// of the shortest tasks. A day of low load has 11,300 probes with 60 ms and 9,100 with
+	// 130 ms.
 	probeGap = 100 * time.Millisecond
 	// pausePerDelay times the mean delay of events in the leader is added to that pause,
 	// up to maxProbePause. Probes are half of a leader's calls, and in a burst of work
--- a/region/run.go
+++ b/region/run.go
@@ -28,7 +28,7 @@
 	phaseRunning                // the worker has it
 	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseLateStart              // reported as over, but a start call may still be executed
+	phaseLateStart              // over otherwise, but a start call may still be executed
 )
 
 // run is one run of a task that may be alive.
