--- a/region/behind_test.go
+++ b/region/behind_test.go
@@ -7,14 +7,13 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// A burst of work keeps the leader's processor busy, so that every answer waits.
-// Looks that go on at the pace of a calm day are half of its calls: starts and
-// advice wait behind them, run out of time and are made again, and the region
-// does not recover when the burst is over.
-func TestLooksArePacedWhileEventsWait(t *testing.T) {
+// Guards against a leader that does not recover after a burst of work. The burst keeps its
+// processor busy, and every answer waits. Probes at their normal rate are half of its
+// calls: starts and calls for advice wait behind them, time out and are retried.
+func TestProbesSlowDownWhileEventsWait(t *testing.T) {
 	pause := func(behind time.Duration) time.Duration {
 		s, now := newBacklogScheduler(1, 0, 0)
-		for range 20 * behindMemory {
+		for range 20 * delaySamples {
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
 		}
 		order := model.HoldRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
@@ -23,24 +22,24 @@
 				return h.After
 			}
 		}
-		t.Fatal("no further look")
+		t.Fatal("no further probe")
 		return 0
 	}
-	if got := pause(0); got != lookGap {
-		t.Errorf("pause %v with no event waiting, want %v", got, lookGap)
+	if got := pause(0); got != probeGap {
+		t.Errorf("pause %v with no event waiting, want %v", got, probeGap)
 	}
-	if got, most := pause(10*time.Millisecond), lookGap+pausePerBehind*10*time.Millisecond; got <= lookGap+most/4 || got > most {
+	if got, most := pause(10*time.Millisecond), probeGap+pausePerDelay*10*time.Millisecond; got <= probeGap+most/4 || got > most {
 		t.Errorf("pause %v with events waiting 10 ms, want close to %v", got, most)
 	}
-	if got := pause(time.Second); got != mostLookPause {
-		t.Errorf("pause %v with events waiting a second, want %v", got, mostLookPause)
+	if got := pause(time.Second); got != maxProbePause {
+		t.Errorf("pause %v with events waiting a second, want %v", got, maxProbePause)
 	}
 }
 
-// The log takes 0.4 s for each append, for everyone. Work that is handed in between
-// two answers must not wait as if the log were gone: each append would then carry
-// what came in the first quarter of a second, and the rest would wait for the next.
-func TestSlowLogIsNotTakenForALostOne(t *testing.T) {
+// Guards against treating a slow log as unavailable. Every append takes 0.4 s. If
+// assignments stopped after the fixed limit, each append would carry only the work of the
+// first quarter of a second, and the rest would wait for the next one.
+func TestSlowLogIsNotStalled(t *testing.T) {
 	const append = 400 * time.Millisecond
 	s := New(testOptions())
 	s.Step(time.Hour, Lead{Fence: 1})
@@ -57,41 +56,42 @@
 	}
 }
 
-// The leader's link is full. Looks, most of its calls, would keep it so: starts and appends
-// wait behind them, answers come too late, leases of pressing work lapse, and what lapsed is
-// sent again. Looks are paced as the link fills, and leases outlast the late ones.
-func TestLooksArePacedWhileTheLinkIsFull(t *testing.T) {
+// Guards against a leader's link that stays full because of probes, most of its calls:
+// starts and appends wait behind them, answers are late, leases of pressing work lapse, and
+// lapsed runs are started again. Probes slow down as the link fills, and leases become long
+// enough for late renewals.
+func TestProbesSlowDownAndLeasesLengthenOnFullLink(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := newBacklogScheduler(1, 0, 0)
 		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
-		return s.lookPause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
+		return s.probePause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
 	}
-	if pause, lease := at(busyLink); pause != lookGap || lease != shortLease {
+	if pause, lease := at(busyLink); pause != probeGap || lease != shortLease {
 		t.Errorf("pause %v, lease %v with the link half used", pause, lease)
 	}
-	if pause, _ := at((busyLink + fullLink) / 2); pause <= lookGap || pause >= mostLookPause {
+	if pause, _ := at((busyLink + fullLink) / 2); pause <= probeGap || pause >= maxProbePause {
 		t.Errorf("pause %v with a busy link", pause)
 	}
-	if pause, lease := at(1); pause != mostLookPause || lease != testOptions().Lease {
+	if pause, lease := at(1); pause != maxProbePause || lease != testOptions().Lease {
 		t.Errorf("pause %v, lease %v with the link full", pause, lease)
 	}
 }
 
-// The leader's link takes no more. Work that is started all the same, and calls for advice,
-// fill it further, so that leases of what runs already are renewed too late. Nothing new is
-// started until the link is free again, and then it is.
-func TestNothingIsStartedOverAFullLink(t *testing.T) {
+// Guards against starts and calls for advice over an overfull link of the leader, which
+// would delay the lease renewals of running tasks. Nothing is started until the link has
+// capacity again, and then it is.
+func TestNoStartsOverFullLink(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.linkLoad = 1.2
 	w.run(100 * time.Millisecond)
 	w.submitTo(slowJob("s1", 2), "slow")
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 0 {
-		t.Errorf("%d tasks are started over a full link", n)
+		t.Errorf("%d tasks are started over a full link, want 0", n)
 	}
 	w.linkLoad = 0.3
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 2 {
-		t.Errorf("%d tasks are started over the free link, want 2", n)
+		t.Errorf("%d tasks are started after the link was free again, want 2", n)
 	}
 }
--- a/region/pass.go
+++ b/region/pass.go
@@ -37,7 +37,7 @@
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
 	for _, w := range s.order {
-		w.overdue = w.orders.overdue(before)
+		w.overdue = w.pendingOrders.overdue(before)
 		w.claimed = model.Resources{}
 		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
 		if s.usable(w) {
@@ -197,7 +197,7 @@
 			st.blocked = reasonNames[rejectRoom]
 			s.makeRoom(st)
 			if c <= classExcess {
-				s.wantFirstAdvice(st)
+				s.requestFirstAdvice(st)
 			}
 			continue
 		}
@@ -219,7 +219,7 @@
 			gangs++
 			s.reserve(st, gangs <= reservedGangs)
 		}
-		s.wantAdvice(st)
+		s.refreshAdvice(st)
 	}
 	if tries < headTries+tailTries {
 		s.turns[c] = 0
--- a/region/place.go
+++ b/region/place.go
@@ -93,7 +93,7 @@
 			s.scratch = append(s.scratch, w)
 		}
 	}
-	if st.advised() && len(s.candidates(st)) == 0 {
+	if st.needsAdvice() && len(s.candidates(st)) == 0 {
 		return nil, reasonNames[rejectAdvice]
 	}
 	return s.scratch, counts.summary()
@@ -155,7 +155,7 @@
 // usable reports whether new work may go to the worker at all.
 func (s *Scheduler) usable(w *worker) bool {
 	return w.listed && !w.entry.Draining && w.fenced && !w.overdue &&
-		s.now-w.lookedAt < reachable && s.now >= w.pausedTo && w.health.trusted(s.now)
+		s.now-w.probedAt < maxProbeAge && s.now >= w.pausedUntil && w.health.trusted(s.now)
 }
 
 // runsOn counts the runs of the step on the worker.
