--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// backlog returns a leading scheduler whose workers are full, with a backlog of
-// steps that all need advice, a fifth of them gangs.
-func backlog(workers, steps int, used int64) (*Scheduler, time.Duration) {
+// newBacklogScheduler returns a leading scheduler with a backlog of steps that all need
+// advice, a fifth of them gangs. used is the milli-CPU in use on each worker.
+func newBacklogScheduler(workers, steps int, used int64) (*Scheduler, time.Duration) {
 	s := New(testOptions())
 	now := time.Hour
 	s.Step(now, Tick{UnixMs: now.Milliseconds()})
@@ -23,7 +23,7 @@
 		s.Step(now, WorkerListed{Entry: model.WorkerEntry{
 			ID: id, Service: "svc", Address: id, Capacity: model.Resources{MilliCPU: 32000, MemoryMiB: 64 << 10}, BornUnix: 1,
 		}})
-		s.Step(now, Held{Order: model.HoldOrder{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Hold: model.Hold{ClockMs: 1, BornUnix: 1}})
+		s.Step(now, Held{Order: model.HoldRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Hold: model.HoldResponse{ClockMs: 1, BornUnix: 1}})
 	}
 	for _, w := range s.workerList {
 		w.used.MilliCPU = used
@@ -36,25 +36,25 @@
 		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
 		for n, w := range s.workerList {
-			st.advice.note(adviceMark{worker: w, good: (n+i)%3 == 0})
+			st.advice.note(adviceMark{worker: w, eligible: (n+i)%3 == 0})
 		}
 	}
 	return s, now
 }
 
-// BenchmarkPass is one look for room that starts nothing, at today's size and at
-// that of a grown region: with all workers full, and with room everywhere but no
-// valid ticket.
+// BenchmarkPass measures one scheduling pass that starts nothing, at the present size
+// of a region and at larger ones: with all workers full, and with free capacity on all
+// workers but no valid ticket.
 func BenchmarkPass(b *testing.B) {
 	for name, used := range map[string]int64{"full": 31500, "unadvised": 8000} {
 		for _, size := range []struct{ workers, steps int }{{48, 50}, {48, 1000}, {350, 1000}, {800, 2500}} {
 			b.Run(fmt.Sprintf("%s/workers=%d/steps=%d", name, size.workers, size.steps), func(b *testing.B) {
-				s, now := backlog(size.workers, size.steps, used)
+				s, now := newBacklogScheduler(size.workers, size.steps, used)
 				for b.Loop() {
 					now += time.Microsecond
 					s.lastProofAt, s.dirty, s.lastPass = now, true, 0
 					for _, w := range s.workerList {
-						w.lookedAt = now
+						w.probedAt = now
 					}
 					s.Step(now, Schedule{})
 				}
--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -8,7 +8,7 @@
 // A task is done and its worker reports the end, but the answer waits in the leader's
 // own saturated link for longer than the lease. A leader that then counts the run as
 // lost starts the task again. It waits for the worker while its link is full, but at
-// most for congestedPatience, since the worker may really be gone.
+// most for maxExpiryDelay, since the worker may really be gone.
 func TestRunIsNotLostWhileLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
@@ -16,7 +16,7 @@
 		for len(w.sched.workerList[0].runs) == 0 || w.sched.workerList[0].runs[0].phase != phaseRunning {
 			w.run(5 * time.Millisecond)
 		}
-		w.workers["w0"].cut = true
+		w.workers["w0"].unreachable = true
 		over := w.sched.workerList[0].lapsesAt()
 		w.linkLoad = load
 		for at := w.now; w.now < at+10*time.Second; w.run(5 * time.Millisecond) {
@@ -30,7 +30,7 @@
 	if got := lostAfter(0); got > time.Second {
 		t.Errorf("run lost %v after its lease expired with the link free, want at most 1 s", got)
 	}
-	if got := lostAfter(1); got < congestedPatience/2 || got > congestedPatience+time.Second {
-		t.Errorf("run lost %v after its lease expired with the link full, want about %v", got, congestedPatience)
+	if got := lostAfter(1); got < maxExpiryDelay/2 || got > maxExpiryDelay+time.Second {
+		t.Errorf("run lost %v after its lease expired with the link full, want about %v", got, maxExpiryDelay)
 	}
 }
--- a/region/event.go
+++ b/region/event.go
@@ -45,22 +45,22 @@
 
 	// Held is the answer to a Hold that was sent at SentAt.
 	Held struct {
-		Order  model.HoldOrder
+		Order  model.HoldRequest
 		SentAt time.Duration
-		Hold   model.Hold
+		Hold   model.HoldResponse
 		Err    CallError
 	}
 
 	// StartAnswered is the answer to a Start that was sent at SentAt.
 	StartAnswered struct {
-		Order  model.StartOrder
+		Order  model.StartRequest
 		SentAt time.Duration
 		Err    CallError
 	}
 
 	// StopAnswered is the answer to a Stop that was sent at SentAt.
 	StopAnswered struct {
-		Order  model.StopOrder
+		Order  model.StopRequest
 		SentAt time.Duration
 		Err    CallError
 	}
@@ -133,18 +133,18 @@
 
 	// Start asks a worker to start a run.
 	Start struct {
-		Order model.StartOrder
+		Order model.StartRequest
 		After time.Duration
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
-		Order model.StopOrder
+		Order model.StopRequest
 		After time.Duration
 	}
 	// Hold is the heartbeat to a worker: it renews leases and reads which runs are
 	// alive or have ended.
 	Hold struct {
-		Order model.HoldOrder
+		Order model.HoldRequest
 		After time.Duration
 	}
 
--- a/region/pass.go
+++ b/region/pass.go
@@ -36,7 +36,7 @@
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
 	for _, w := range s.workerList {
-		w.overdue = w.orders.overdue(before)
+		w.overdue = w.pendingOrders.overdue(before)
 		w.claimed = model.Resources{}
 		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
 		if s.usable(w) {
@@ -196,7 +196,7 @@
 			st.heldBy = reasonNames[rejectRoom]
 			s.preemptFor(st)
 			if c <= classOverShare {
-				s.wantFirstAdvice(st)
+				s.requestFirstAdvice(st)
 			}
 			continue
 		}
@@ -218,7 +218,7 @@
 			gangs++
 			s.reserve(st, gangs <= maxFirmReservations)
 		}
-		s.wantAdvice(st)
+		s.refreshAdvice(st)
 	}
 	if tries < headTries+tailTries {
 		s.tailStart[c] = 0
--- a/region/place.go
+++ b/region/place.go
@@ -94,7 +94,7 @@
 			s.fittingBuf = append(s.fittingBuf, w)
 		}
 	}
-	if st.advised() && len(s.candidates(st)) == 0 {
+	if st.needsAdvice() && len(s.candidates(st)) == 0 {
 		return nil, reasonNames[rejectAdvice]
 	}
 	return s.fittingBuf, counts.summary()
@@ -156,7 +156,7 @@
 // usable reports whether the worker may get new work at all.
 func (s *Scheduler) usable(w *worker) bool {
 	return w.listed && !w.entry.Draining && w.fenced && !w.overdue &&
-		s.now-w.lookedAt < reachable && s.now >= w.pausedTo && w.health.healthy(s.now)
+		s.now-w.probedAt < maxProbeAge && s.now >= w.pausedUntil && w.health.healthy(s.now)
 }
 
 // runCountOn counts the runs of the step on the worker.
--- a/region/region.go
+++ b/region/region.go
@@ -159,13 +159,13 @@
 	case Committed:
 		s.onCommitted(ev)
 	case Held:
-		s.held(ev)
+		s.probeAnswered(ev)
 	case StartAnswered:
 		s.startAnswered(ev)
 	case StopAnswered:
 		s.stopAnswered(ev)
 	case Advised:
-		s.advised(ev)
+		s.adviceAnswered(ev)
 	case HostsSeen:
 		s.advisers.set(ev.Hosts, s.now)
 	case Tick:
@@ -265,7 +265,7 @@
 
 func (s *Scheduler) tick(ev Tick) {
 	s.unixMs = ev.UnixMs
-	s.loopLag += (ev.LoopLag - s.loopLag) / behindMemory
+	s.loopLag += (ev.LoopLag - s.loopLag) / delaySamples
 	s.linkLoad = ev.LinkLoad
 	if s.linkLoad > fullLink {
 		s.fullAt = s.now
@@ -275,7 +275,7 @@
 	}
 	s.addDueOccurrences()
 	s.expireRuns()
-	s.resolveDoubts()
+	s.resolveLateStarts()
 	s.departed.expire(s.now)
 	s.retireJobs()
 	s.rewriteOld()
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -12,10 +12,10 @@
 // apply to the second: the ticket names another worker, and every start with it would
 // be refused.
 func TestAdviceIsNotReusedForNextWorkerInSlot(t *testing.T) {
-	s, now := backlog(1, 1, 0)
+	s, now := newBacklogScheduler(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.workerList[0]
-	st.advice.note(adviceMark{worker: left, good: true, ticket: "t", until: now + time.Second})
+	st.advice.note(adviceMark{worker: left, eligible: true, ticket: "t", until: now + time.Second})
 	if !st.ticketHolds(left, now) {
 		t.Fatal("the ticket is not valid on its own worker")
 	}
