--- a/region/event.go
+++ b/region/event.go
@@ -141,7 +141,7 @@
 		Order model.StopRequest
 		After time.Duration
 	}
-	// Hold is the heartbeat to a worker: it renews leases and reads which runs are
+	// Hold is a probe of a worker: it renews its leases and reads which runs are
 	// alive or have ended.
 	Hold struct {
 		Order model.HoldRequest
--- a/region/late_start.go
+++ b/region/late_start.go
@@ -84,7 +84,7 @@
 	r.phase = phaseLateStart
 	r.settledAt = 0
 	delete(r.worker.pendingOrders, r.id())
-	s.inDoubtRuns = append(s.inDoubtRuns, r)
+	s.lateStartRuns = append(s.lateStartRuns, r)
 	s.explain(r.task.step.job.rec.Id, "run in doubt", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index}, Field{"run", r.number},
 		Field{"unanswered", r.calls.unanswered}, Field{"inherited", r.calls.inherited})
@@ -94,16 +94,16 @@
 
 // resolveLateStarts ends the runs of awaitLateStart that can no longer start.
 func (s *Scheduler) resolveLateStarts() {
-	if len(s.inDoubtRuns) == 0 {
+	if len(s.lateStartRuns) == 0 {
 		return
 	}
-	waiting := slices.Clone(s.inDoubtRuns)
-	s.inDoubtRuns = s.inDoubtRuns[:0]
+	waiting := slices.Clone(s.lateStartRuns)
+	s.lateStartRuns = s.lateStartRuns[:0]
 	for _, r := range waiting {
 		switch {
 		case r.task.run != r || r.phase != phaseLateStart:
 		case s.mayStartLate(r):
-			s.inDoubtRuns = append(s.inDoubtRuns, r)
+			s.lateStartRuns = append(s.lateStartRuns, r)
 		default:
 			s.markLost(r, "no start of it can be carried out any more")
 		}
--- a/region/learn.go
+++ b/region/learn.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// stallTimeout is how long a run may show no progress. Heartbeats are up to 0.8 s apart,
+// stallTimeout is how long a run may show no progress. Probes are up to 0.8 s apart,
 // and the slowest healthy tasks gain one percent in a second.
 const stallTimeout = 1500 * time.Millisecond
 
--- a/region/region.go
+++ b/region/region.go
@@ -84,7 +84,7 @@
 	periodic       []*job // jobs with further occurrences
 	written        []*job // jobs in the order of writtenAt
 	finished       []*job // jobs in the order they ended
-	inDoubtRuns    []*run // runs in doubt: a start of them may still be executed
+	lateStartRuns  []*run // runs whose end waits until no start of them can be executed late
 	estimates      estimates
 	shares         shares
 
