--- a/region/advice.go
+++ b/region/advice.go
@@ -78,7 +78,7 @@
 	if st.needsAdvice() {
 		return st.advice.eligible
 	}
-	return s.order
+	return s.workerList
 }
 
 // needsAdvice reports whether the step's tasks need a ticket of the advice service.
@@ -133,12 +133,12 @@
 		return false
 	}
 	if s.linkLoad > fullLink && !st.pressing {
-		st.blocked = "link" // calls for advice name many workers and are the largest calls
+		st.heldBy = "link" // calls for advice name many workers and are the largest calls
 		s.dirty = true
 		return false
 	}
-	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.maxWorkersPerCall()), s.now) == nil {
-		st.blocked = "advice backlog"
+	if s.advisers.pick(s.adviceTiers, st.job.rec.Queue, st.adviceCost(st.maxWorkersPerCall()), s.now) == nil {
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return false
 	}
@@ -169,9 +169,9 @@
 		return
 	}
 	cost := st.adviceCost(len(names))
-	host := s.advisers.pick(s.lanes, st.job.rec.Queue, cost, s.now)
+	host := s.advisers.pick(s.adviceTiers, st.job.rec.Queue, cost, s.now)
 	if host == nil {
-		st.blocked = "advice backlog"
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return
 	}
@@ -196,7 +196,7 @@
 	if st.rec.Gang {
 		need = len(st.tasks)
 	}
-	answerTime := st.adviceCost(len(s.order)) + adviceMargin
+	answerTime := st.adviceCost(len(s.workerList)) + adviceMargin
 	found := 0
 	for _, w := range s.usableNow {
 		if found >= want {
@@ -228,8 +228,8 @@
 func (s *Scheduler) workersToAsk(st *step) []string {
 	var roomy, full []string
 	stale, unknown := 0, 0
-	neededUntil := s.now + st.adviceCost(len(s.order)) + adviceMargin
-	for _, w := range s.order {
+	neededUntil := s.now + st.adviceCost(len(s.workerList)) + adviceMargin
+	for _, w := range s.workerList {
 		if !w.listed || w.entry.Draining || !s.suits(st, w) {
 			continue
 		}
--- a/region/advisers.go
+++ b/region/advisers.go
@@ -101,9 +101,9 @@
 
 // pick returns the host with the shortest backlog among those that accept a call of that
 // queue and service time, or nil if there is none.
-func (a *advisers) pick(l lanes, queue string, cost, now time.Duration) *adviser {
+func (a *advisers) pick(l adviceTiers, queue string, cost, now time.Duration) *adviser {
 	var best *adviser
-	for _, h := range a.hosts[l.first(queue, len(a.hosts)):] {
+	for _, h := range a.hosts[l.firstHost(queue, len(a.hosts)):] {
 		if h.accepts(cost, now) && (best == nil || h.backlog(now) < best.backlog(now)) {
 			best = h
 		}
--- a/region/end.go
+++ b/region/end.go
@@ -23,7 +23,7 @@
 		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.probedAt).Milliseconds()})
 	s.release(r)
 	s.recordEnd(t, r.number, record.Outcome_OUTCOME_LOST, "")
-	s.breakGang(t, r.number)
+	s.stopOtherMembers(t, r.number)
 	s.publish(t.step.job)
 }
 
@@ -80,7 +80,7 @@
 	if e.GangTimedOut {
 		s.explain(e.Task.Job, "gang member ended alone", Field{"step", e.Task.Step}, Field{"task", e.Task.Index}, Field{"run", e.Run})
 	}
-	s.breakGang(t, e.Run)
+	s.stopOtherMembers(t, e.Run)
 }
 
 // countEnd applies the end of a run to its task and job.
@@ -96,7 +96,7 @@
 	case outcome == record.Outcome_OUTCOME_FAILED && first:
 		s.countFailure(t)
 	}
-	if t.waiting() && !t.step.job.over() && t.step.started {
+	if t.waiting() && !t.step.job.over() && t.step.ready {
 		s.enqueue(t.step)
 	}
 	s.dirty = true
--- a/region/job.go
+++ b/region/job.go
@@ -9,82 +9,82 @@
 
 // job is one submission.
 type job struct {
-	rec        *record.Job
-	acceptedAt time.Duration // on our clock
-	writtenAt  time.Duration // when its newest whole record was written
-	cancelled  bool
-	failed     bool
-	begun      bool           // a task has started
-	queue      *queueEstimate // what its queue's tasks take
-	excess     bool           // its workspace sent more than its share when it came
-	occs       []*occurrence
-	objective  time.Duration // of its newest occurrence
-	nextOcc    int32         // first occurrence that has not been created
-	openOccs   int           // occurrences with tasks that are not done
-	state      State         // last published
-	endedAt    time.Duration
+	rec           *record.Job
+	acceptedAt    time.Duration // on the scheduler's clock
+	writtenAt     time.Duration // when its newest complete record was written
+	cancelled     bool
+	failed        bool
+	begun         bool           // a task of it has started
+	queue         *queueEstimate // observed run times of its queue
+	overShare     bool           // its workspace was above its share when the job arrived
+	occs          []*occurrence
+	objective     time.Duration // of its newest occurrence
+	nextOcc       int32         // first occurrence that has not been created
+	remainingOccs int           // occurrences with tasks that are not done
+	state         State         // last published
+	endedAt       time.Duration
 }
 
-// occurrence is one time that a job's steps run.
+// occurrence is one execution of a job's steps.
 type occurrence struct {
 	k     int32
 	steps []*step
 	open  int // tasks not done
 }
 
-// step is a set of equal tasks of one occurrence.
+// step is a set of identical tasks of one occurrence.
 type step struct {
-	job      *job
-	occ      *occurrence
-	index    int32
-	rec      *record.Step
-	request  model.Resources
-	tasks    []*task
-	open     int           // tasks not done
-	started  bool          // all steps before it are done
-	openAt   time.Duration // when that was
-	key      time.Duration // latest start that still meets the objective
-	lateAt   time.Duration // a start after this earns nothing more
-	queued   bool          // on the ready list
-	advice   adviceState
-	blocked  string // what held it back at the last look
-	notUntil time.Duration
-	pressing bool // as of the newest pass
+	job             *job
+	occ             *occurrence
+	index           int32
+	rec             *record.Step
+	request         model.Resources
+	tasks           []*task
+	open            int           // tasks not done
+	ready           bool          // all steps that it depends on are done
+	readyAt         time.Duration // when that became true
+	latestStart     time.Duration // latest start that still meets the objective
+	latestForCredit time.Duration // latest start that still earns partial credit
+	queued          bool          // on the ready list
+	advice          adviceState
+	heldBy          string // why it could not start in the last pass that tried it; reported as held_by
+	notUntil        time.Duration
+	pressing        bool // as of the newest pass
 
-	waitsFrom  time.Duration // since when a task of it waits
-	madeRoomAt time.Duration // when work was last stopped for it
+	waitingSince time.Duration // since when it has a waiting task
+	preemptedAt  time.Duration // when runs were last preempted for it
 }
 
 // task is one task of a step.
 type task struct {
-	step       *step
-	index      int32
-	done       bool
-	attempts   int32         // ends that counted as failed
-	lastRun    int32         // highest run assigned
-	endedRun   int32         // highest run whose end was counted
-	checkpoint string        // newest saved progress
-	crawled    bool          // it was moved away from a slow worker once
-	run        *run          // what may be alive; nil if nothing is
-	ran        time.Duration // how long the run took that was done
-	ranOn      *worker       // where
+	step         *step
+	index        int32
+	done         bool
+	attempts     int32         // runs that ended as failed
+	lastRun      int32         // highest run number assigned
+	endedRun     int32         // highest run number whose end was counted
+	checkpoint   string        // newest checkpoint
+	movedOffSlow bool          // it was moved off a slow worker once
+	run          *run          // run that may be alive; nil for none
+	runTime      time.Duration // run time of the run that completed it
+	ranOn        *worker       // worker of that run
 }
 
 func (t *task) id() model.TaskID {
 	return model.TaskID{Job: t.step.job.rec.Id, Occurrence: t.step.occ.k, Step: t.step.index, Index: t.index}
 }
 
-// waiting reports whether the task is to be started.
+// waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
-func (j *job) over() bool  { return j.cancelled || j.failed || j.complete() }
-func (j *job) timed() bool { return j.rec.RepeatCount > 0 }
+func (j *job) over() bool     { return j.cancelled || j.failed || j.complete() }
+func (j *job) periodic() bool { return j.rec.RepeatCount > 0 }
 
 // complete reports whether every task of every occurrence is done.
-func (j *job) complete() bool { return j.openOccs == 0 && j.nextOcc >= max(j.rec.RepeatCount, 1) }
+func (j *job) complete() bool { return j.remainingOccs == 0 && j.nextOcc >= max(j.rec.RepeatCount, 1) }
 
-// intake applies records that hosts have accepted. The first record of an id
-// counts; repeats of a submission are one job.
+// intake applies records of accepted submissions and cancellations. The first record of
+// an id counts; a repeated submission is ignored.
 func (s *Scheduler) intake(records []*record.Intake) {
 	for _, r := range records {
 		switch k := r.Kind.(type) {
@@ -100,13 +100,13 @@
 	if j, known := s.jobs[rec.Id]; known {
 		return j
 	}
-	j := &job{rec: rec, queue: s.estimates.of(rec.Queue), acceptedAt: s.acceptedAt(rec.AcceptedUnixMs)}
+	j := &job{rec: rec, queue: s.estimates.forQueue(rec.Queue), acceptedAt: s.acceptedAt(rec.AcceptedUnixMs)}
 	j.writtenAt = j.acceptedAt
 	s.jobs[rec.Id] = j
 	s.written = append(s.written, j)
-	j.excess = !s.shares.take(s.share(rec.Workspace), rec.Workspace, j.acceptedAt)
-	if j.timed() {
-		s.timed = append(s.timed, j)
+	j.overShare = !s.shares.allow(s.share(rec.Workspace), rec.Workspace, j.acceptedAt)
+	if j.periodic() {
+		s.periodic = append(s.periodic, j)
 	} else {
 		s.addOccurrence(j)
 	}
@@ -118,8 +118,9 @@
 	return j
 }
 
-// acceptedAt converts a time of day of the accepting host to our clock. Clocks
-// step, so an age beyond what the log can hold is not believed.
+// acceptedAt converts a time of day of the accepting host to the scheduler's clock.
+// Clocks may step, so an age that is negative or beyond the log's retention counts as
+// 0.
 func (s *Scheduler) acceptedAt(unixMs int64) time.Duration {
 	age := time.Duration(s.unixMs-unixMs) * time.Millisecond
 	if s.unixMs == 0 || age < 0 || age > s.opts.LogRetention {
@@ -132,7 +133,7 @@
 func (s *Scheduler) addOccurrence(j *job) {
 	occ := &occurrence{k: j.nextOcc}
 	j.nextOcc++
-	j.openOccs++
+	j.remainingOccs++
 	j.occs = append(j.occs, occ)
 	for i, rec := range j.rec.Steps {
 		st := &step{job: j, occ: occ, index: int32(i), rec: rec, request: model.ResourcesOf(rec.Request), open: int(rec.Count)}
@@ -143,68 +144,69 @@
 		occ.steps = append(occ.steps, st)
 		occ.open += st.open
 	}
-	s.setUrgency(j, occ)
-	s.openSteps(occ)
+	s.setLatestStarts(j, occ)
+	s.enqueueReadySteps(occ)
 }
 
-// openSteps queues the steps whose predecessors are done.
-func (s *Scheduler) openSteps(occ *occurrence) {
+// enqueueReadySteps queues the steps whose dependencies are done.
+func (s *Scheduler) enqueueReadySteps(occ *occurrence) {
 	for _, st := range occ.steps {
 		if st.open == 0 || st.job.over() {
 			continue
 		}
-		st.started = true
+		st.ready = true
 		for _, d := range st.rec.DependsOn {
 			if occ.steps[d].open > 0 {
-				st.started = false
+				st.ready = false
 			}
 		}
-		if st.started {
-			if st.openAt == 0 {
-				st.openAt = s.now
+		if st.ready {
+			if st.readyAt == 0 {
+				st.readyAt = s.now
 			}
 			s.enqueue(st)
 		}
 	}
 }
 
-// setUrgency works out how late each step may start: the objective is stretch
-// times the longest chain of work from the job's acceptance, and up to three
-// times the objective still earns a part.
-func (s *Scheduler) setUrgency(j *job, occ *occurrence) {
-	chain := make([]time.Duration, len(occ.steps)) // longest chain from the start of each step to the end
+// setLatestStarts computes the latest start of each step. A job's objective is its target
+// latency plus stretch times its critical path, counted from its acceptance or, for one
+// that runs at set times, from the creation of the occurrence. An end within
+// partialCredit objectives still earns partial credit.
+func (s *Scheduler) setLatestStarts(j *job, occ *occurrence) {
+	criticalPath := make([]time.Duration, len(occ.steps)) // critical path from the start of each step to the end
 	for i := len(occ.steps) - 1; i >= 0; i-- {
 		own := j.runTime(occ.steps[i].rec)
-		chain[i] += own
+		criticalPath[i] += own
 		for _, d := range occ.steps[i].rec.DependsOn {
-			chain[d] = max(chain[d], chain[i])
+			criticalPath[d] = max(criticalPath[d], criticalPath[i])
 		}
 	}
 	var longest time.Duration
-	for _, c := range chain {
+	for _, c := range criticalPath {
 		longest = max(longest, c)
 	}
 	objective := time.Duration(j.rec.Policy.GetStretch()*float64(longest)) +
 		time.Duration(j.rec.Policy.GetTargetLatencyMs())*time.Millisecond
 	j.objective = objective
 	from := j.acceptedAt
-	if j.timed() {
+	if j.periodic() {
 		from = s.now
 	}
 	for i, st := range occ.steps {
-		st.key = from + objective - chain[i]
-		st.lateAt = from + partialCredit*objective - chain[i]
+		st.latestStart = from + objective - criticalPath[i]
+		st.latestForCredit = from + partialCredit*objective - criticalPath[i]
 	}
 }
 
-// partialCredit is how many objectives after its acceptance a job still earns
-// a part of its worth.
+// partialCredit is how many objectives after its acceptance a job still earns partial
+// credit.
 const partialCredit = 3
 
-// startOccurrences creates the occurrences that are due.
-func (s *Scheduler) startOccurrences() {
-	left := s.timed[:0]
-	for _, j := range s.timed {
+// addDueOccurrences creates the occurrences that are due.
+func (s *Scheduler) addDueOccurrences() {
+	left := s.periodic[:0]
+	for _, j := range s.periodic {
 		for !j.over() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
 			s.addOccurrence(j)
 		}
@@ -212,17 +214,17 @@
 			left = append(left, j)
 		}
 	}
-	s.timed = left
+	s.periodic = left
 }
 
 func (j *job) dueUnixMs(k int32) int64 { return j.rec.FirstRunUnixMs + int64(k)*j.rec.IntervalMs }
 
-// cancel ends a job at its caller's wish.
+// cancel ends a job at the request of its caller.
 func (s *Scheduler) cancel(id string) {
 	j, known := s.jobs[id]
 	if !known {
-		// The cancellation has overtaken the submission, which lies in another
-		// partition of the log.
+		// The submission is in another partition of the log and has not been
+		// read yet.
 		s.cancelledEarly[id] = s.now
 		return
 	}
@@ -231,21 +233,21 @@
 	}
 	j.cancelled = true
 	s.explain(id, "cancelled", Field{"queue", j.rec.Queue})
-	s.close(j)
+	s.closeJob(j)
 }
 
-// fail ends a job one of whose tasks has used up its attempts.
+// fail ends a job because task t has used up its attempts.
 func (s *Scheduler) fail(j *job, t *task) {
 	if j.over() {
 		return
 	}
 	j.failed = true
 	s.explain(j.rec.Id, "failed", Field{"step", t.step.index}, Field{"task", t.index}, Field{"attempts", t.attempts})
-	s.close(j)
+	s.closeJob(j)
 }
 
-// close stops whatever of a finished job may still run.
-func (s *Scheduler) close(j *job) {
+// closeJob stops the remaining runs of a job that was cancelled or has failed.
+func (s *Scheduler) closeJob(j *job) {
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
 			s.dequeue(st)
@@ -265,14 +267,15 @@
 	s.publish(j)
 }
 
-// publish tells the job's state if it changed.
+// publish reports the job's state if it changed, and in any case when leadership
+// begins.
 func (s *Scheduler) publish(j *job) {
 	state := j.currentState()
 	if state == j.state && s.now != s.leadSince {
 		return
 	}
 	j.state = state
-	s.emit(Publish{Job: j.rec.Id, Queue: j.rec.Queue, Workspace: j.rec.Workspace, State: state, Timed: j.timed()})
+	s.emit(Publish{Job: j.rec.Id, Queue: j.rec.Queue, Workspace: j.rec.Workspace, State: state, Timed: j.periodic()})
 }
 
 func (j *job) currentState() State {
@@ -289,8 +292,9 @@
 	return StateQueued
 }
 
-// taskDone marks a task done, and its job complete once the end is kept: a
-// state that callers have read must survive the loss of every host.
+// taskDone marks a task done. If that completes the job, the new state is published
+// only once the end is committed: a state that callers have read must survive the loss
+// of every host.
 func (s *Scheduler) taskDone(t *task) {
 	if t.done {
 		return
@@ -306,11 +310,11 @@
 	s.dequeue(st)
 	st.advice.marks, st.advice.eligible = nil, nil
 	if st.occ.open > 0 {
-		s.openSteps(st.occ)
+		s.enqueueReadySteps(st.occ)
 		return
 	}
 	j := st.job
-	j.openOccs--
+	j.remainingOccs--
 	if !j.complete() || j.failed || j.cancelled {
 		return
 	}
@@ -318,21 +322,21 @@
 		s.jobEnded(j)
 		return
 	}
-	s.afterKept(s.seq, func() {
+	s.afterCommit(s.seq, func() {
 		s.explain(j.rec.Id, "completed", Field{"after_ms", (s.now - j.acceptedAt).Milliseconds()},
 			Field{"objective_ms", j.objective.Milliseconds()})
 		s.jobEnded(j)
 	})
 }
 
-// hasBegun reports whether a task of the job has started. What an earlier leader assigned
-// counts until its worker has answered.
+// hasBegun reports whether a task of the job has started. A run assigned by an earlier
+// leader counts as started until its worker has answered.
 func (j *job) hasBegun() bool {
 	return j.begun || j.anyRun(func(r *run) bool { return r.phase == phaseInherited })
 }
 
-// retireJobs forgets jobs whose state need not be answered any more. Late
-// repeats of a submission come within seconds, long before.
+// retireJobs removes jobs whose state can no longer be queried. Repeated submissions
+// arrive within seconds, long before that.
 func (s *Scheduler) retireJobs() {
 	n := 0
 	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusKept {
@@ -352,7 +356,7 @@
 	}
 }
 
-// anyRun reports whether one of the job's runs that may be alive is of that kind.
+// anyRun reports whether is holds for a run of the job that may be alive.
 func (j *job) anyRun(is func(*run) bool) bool {
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
--- a/region/lanes.go
+++ b/region/lanes.go
@@ -7,24 +7,24 @@
 	"github.com/fireflyfold/fireflyfold/model"
 )
 
-// laneGap times as long is too long to wait behind: queues whose calls for advice
-// differ by more get lanes of their own.
-const laneGap = 3
+// tierRatio is the ratio between the lengths of advice calls of two queues above which
+// the queues get separate tiers.
+const tierRatio = 3
 
-// lanes part the calls for advice by length. The service answers the calls of one
-// host one after the other, so that a call behind one that is many times as long
-// waits many times its own length, and work that is quick to advise on starts too
-// late. Each lane but the first leaves some hosts to the shorter calls. The lanes
-// follow from the queues that are configured: a region whose calls are all alike
-// has one lane and uses every host for it.
-type lanes struct {
+// adviceTiers groups the queues by the length of their advice calls. The advice service
+// answers the calls of one host in sequence, so that a call sent after a much longer
+// one waits many times its own length, and work whose advice is quick starts too late.
+// Each tier but the first leaves some hosts to shorter calls. Tiers follow from the
+// configured queues: if all calls are of similar length there is one tier, which uses
+// every host.
+type adviceTiers struct {
 	byQueue map[string]int
-	n       int
+	count   int
 }
 
-// lanesOf works out the lanes of a configuration.
-func lanesOf(c *model.Config) lanes {
-	l := lanes{byQueue: make(map[string]int)}
+// adviceTiersOf computes the tiers of a configuration.
+func adviceTiersOf(c *model.Config) adviceTiers {
+	l := adviceTiers{byQueue: make(map[string]int)}
 	type queueCost struct {
 		name string
 		ms   float64
@@ -39,26 +39,27 @@
 		return cmp.Or(cmp.Compare(a.ms, b.ms), cmp.Compare(a.name, b.name))
 	})
 	for i, q := range costs {
-		if i == 0 || q.ms > laneGap*costs[i-1].ms {
-			l.n++
+		if i == 0 || q.ms > tierRatio*costs[i-1].ms {
+			l.count++
 		}
-		l.byQueue[q.name] = l.n - 1
+		l.byQueue[q.name] = l.count - 1
 	}
 	return l
 }
 
-// first returns the first of the hosts that a call of the queue may use: all are
-// open to the shortest calls, three quarters to the next ones, half to the rest.
-func (l lanes) first(queue string, hosts int) int {
-	lane, known := l.byQueue[queue]
+// firstHost returns the index of the first host that a call of the queue may use: calls
+// of the first tier may use all hosts, those of the second three quarters, the rest
+// half.
+func (l adviceTiers) firstHost(queue string, hosts int) int {
+	tier, known := l.byQueue[queue]
 	if !known {
-		lane = l.n - 1 // its queue is configured no more: nobody is to wait behind it
+		tier = l.count - 1 // the queue is no longer configured: its calls are not to delay others
 	}
 	var from int
 	switch {
-	case lane <= 0:
+	case tier <= 0:
 		return 0
-	case lane == 1:
+	case tier == 1:
 		from = (hosts + 3) / 4
 	default:
 		from = (hosts + 1) / 2
--- a/region/lease.go
+++ b/region/lease.go
@@ -70,7 +70,7 @@
 // grantLease grants the worker a lease and returns its end in milliseconds of the worker's
 // clock, or 0 if another host may be the leader.
 func (s *Scheduler) grantLease(w *worker) int64 {
-	if !s.proven() {
+	if !s.leadershipConfirmed() {
 		return 0
 	}
 	until := w.clock(s.now) + s.leaseFor(w).Milliseconds()
@@ -117,6 +117,6 @@
 	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
 		return false
 	}
-	separationTime := time.Duration(separationShare * float64(st.key-st.openAt))
-	return s.now < st.openAt+separationTime
+	separationTime := time.Duration(separationShare * float64(st.latestStart-st.readyAt))
+	return s.now < st.readyAt+separationTime
 }
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -14,7 +14,7 @@
 	pause := func(behind time.Duration) time.Duration {
 		s, now := newBacklogScheduler(1, 0, 0)
 		for range 20 * delaySamples {
-			s.Step(now, Tick{UnixMs: now.Milliseconds(), Behind: behind})
+			s.Step(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
 		}
 		order := model.HoldRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
 		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.HoldResponse{ClockMs: 1, BornUnix: 1}}) {
@@ -44,7 +44,7 @@
 	s := New(testOptions())
 	s.Step(time.Hour, Lead{Fence: 1})
 	s.seq = 1
-	s.Step(time.Hour+append, Logged{Seq: 1, SentAt: time.Hour})
+	s.Step(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
 	s.seq = 2
 	s.now = time.Hour + 2*append
 	if s.logStalled() {
--- a/region/probe.go
+++ b/region/probe.go
@@ -85,7 +85,7 @@
 	case CallFenced:
 		s.emit(Deposed{Worker: w.entry.ID})
 		return
-	case CallOtherLife:
+	case CallOtherIncarnation:
 		s.otherIncarnation(w)
 		s.probeAgain(w, probeRetry)
 		return
@@ -119,7 +119,7 @@
 func (s *Scheduler) probePause() time.Duration {
 	const most = maxProbePause - probeGap
 	crowded := min(max(s.linkLoad-busyLink, 0)/(fullLink-busyLink), 1)
-	return probeGap + max(min(pausePerDelay*s.behind, most), time.Duration(crowded*float64(most)))
+	return probeGap + max(min(pausePerDelay*s.loopLag, most), time.Duration(crowded*float64(most)))
 }
 
 // probeAgain sends the next probe, or removes a worker that has left and has no runs.
@@ -161,7 +161,7 @@
 	s.runEnded(w, e)
 	number := e.Number
 	incarnation := w.entry.BornUnix
-	s.afterKept(s.seq, func() {
+	s.afterCommit(s.seq, func() {
 		if w.entry.BornUnix == incarnation {
 			w.acked = max(w.acked, number)
 		}
--- a/region/run.go
+++ b/region/run.go
@@ -133,7 +133,7 @@
 	s.occupy(r)
 	s.pacer.tokens--
 	t.lastRun = number
-	s.afterKept(s.recordAssigned(r), func() { s.sendStart(r, 0) })
+	s.afterCommit(s.recordAssigned(r), func() { s.sendStart(r, 0) })
 }
 
 // recordAssigned appends the worker and its incarnation on which a run may be alive.
@@ -216,10 +216,10 @@
 		s.retryStart(r)
 	case CallNotSent:
 		s.retryStart(r)
-	case CallLate:
+	case CallLeaseExpired:
 		r.leaseUntil = 0
 		s.retryStart(r)
-	case CallOtherLife, CallFenced:
+	case CallOtherIncarnation, CallFenced:
 		s.otherIncarnation(r.worker)
 	case CallRefused:
 		r.worker.pausedUntil = s.now + unhealthyPause
@@ -267,7 +267,7 @@
 func (s *Scheduler) abortStart(r *run, why string) {
 	if r.startUnanswered {
 		s.stopRun(r, why)
-		s.breakGang(r.task, r.number)
+		s.stopOtherMembers(r.task, r.number)
 		return
 	}
 	s.abandon(r, why)
@@ -307,7 +307,7 @@
 		r.settledAt = s.now
 	case CallFenced:
 		s.emit(Deposed{Worker: r.ref.ID})
-	case CallOtherLife:
+	case CallOtherIncarnation:
 		s.otherIncarnation(r.worker)
 	default:
 		s.sendStop(r, stopRetry)
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -144,7 +144,7 @@
 			reply(testDelay, CallNotSent)
 			return
 		case fw.entry.BornUnix != ref.BornUnix:
-			reply(2*testDelay, CallOtherLife)
+			reply(2*testDelay, CallOtherIncarnation)
 			return
 		case w.rng.IntN(callsPerConnection) == 0 && w.callDelay("proof") > 0:
 			reply(callTimeout, CallNotSent)
--- a/region/worker.go
+++ b/region/worker.go
@@ -72,9 +72,9 @@
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
-		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.take(), pendingOrders: make(pendingOrders), incarnations: s.departed.incarnations(id)}
+		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), pendingOrders: make(pendingOrders), incarnations: s.departed.incarnations(id)}
 		s.workers[id] = w
-		s.order = append(s.order, w)
+		s.workerList = append(s.workerList, w)
 		if s.leading() {
 			s.takeOver(w)
 		}
@@ -85,7 +85,7 @@
 // takeOver sets the latest end of the leases that an earlier leader may have granted the
 // worker, and sends the first probe.
 func (s *Scheduler) takeOver(w *worker) {
-	w.inheritedUntil = s.leadSince + logProofLife + s.maxLease() + lapseMargin
+	w.inheritedUntil = s.leadSince + leadershipProofTTL + s.maxLease() + lapseMargin
 	s.probe(w, 0)
 }
 
@@ -136,7 +136,7 @@
 // endPredecessorAt ends the runs of a worker that had the entry's address before: the new
 // process has no runs of the old one, whatever its id.
 func (s *Scheduler) endPredecessorAt(e model.WorkerEntry) {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.entry.Address != e.Address || w.entry.ID == e.ID || w.entry.BornUnix >= e.BornUnix {
 			continue
 		}
@@ -197,10 +197,10 @@
 func (s *Scheduler) forget(w *worker) {
 	delete(s.workers, w.entry.ID)
 	s.departed.add(w.entry.ID, w.incarnations+1, s.now)
-	s.slots.giveBack(w.slot)
-	for i, o := range s.order {
+	s.slots.release(w.slot)
+	for i, o := range s.workerList {
 		if o == w {
-			s.order = append(s.order[:i], s.order[i+1:]...)
+			s.workerList = append(s.workerList[:i], s.workerList[i+1:]...)
 			return
 		}
 	}
@@ -229,8 +229,8 @@
 // expireRuns ends the runs on workers whose leases are over even with the largest clock
 // drift, and removes workers that have left and have no runs.
 func (s *Scheduler) expireRuns() {
-	for i := len(s.order) - 1; i >= 0; i-- {
-		w := s.order[i]
+	for i := len(s.workerList) - 1; i >= 0; i-- {
+		w := s.workerList[i]
 		if len(w.runs) > 0 && s.now > w.lapsesAt() && !s.delayedByLink(w) {
 			for _, r := range w.sortedRuns() {
 				if r.phase != phaseLateStart {
