--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// BoundedWriter passes lines on from a goroutine of its own. A reader that is
-// slow costs lines, never time: a full queue drops the line and counts it.
+// BoundedWriter writes log lines from a separate goroutine. A slow reader never blocks the
+// caller: when the queue is full or the byte budget is used up, lines are dropped and counted.
 type BoundedWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	done    sync.WaitGroup
 
-	mu     sync.Mutex
-	second int64 // of the budget below
-	spent  int   // bytes in that second
+	mu           sync.Mutex
+	budgetSecond int64 // Unix time of the second that budgetUsed is for
+	budgetUsed   int   // bytes written in that second
 }
 
 const (
-	// boundedLines is how many lines wait at most.
-	boundedLines = 2048
-	// boundedBytesPerS bounds the volume under load: some 3,000 lines a second.
-	boundedBytesPerS = 1 << 20
-	// reportDropped is how often dropped lines are told.
-	reportDropped = time.Second
+	// maxQueuedLines is the maximum number of queued lines.
+	maxQueuedLines = 2048
+	// maxBytesPerSecond limits the volume under load: some 3,000 lines a second.
+	maxBytesPerSecond = 1 << 20
+	// dropReportInterval is the minimum time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// NewBoundedWriter returns a writer to out.
+// NewBoundedWriter returns a writer to out. Close ends its goroutine.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
-	w := &BoundedWriter{out: out, lines: make(chan []byte, boundedLines)}
+	w := &BoundedWriter{out: out, lines: make(chan []byte, maxQueuedLines)}
 	w.done.Add(1)
 	go w.run()
 	return w
 }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues one line or drops it. It never blocks and never returns an error.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	if !w.withinBudget(len(line)) {
 		w.dropped.Add(1)
@@ -55,31 +55,31 @@
 func (w *BoundedWriter) withinBudget(n int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now := time.Now().Unix(); now != w.second {
-		w.second, w.spent = now, 0
+	if now := time.Now().Unix(); now != w.budgetSecond {
+		w.budgetSecond, w.budgetUsed = now, 0
 	}
-	w.spent += n
-	return w.spent <= boundedBytesPerS
+	w.budgetUsed += n
+	return w.budgetUsed <= maxBytesPerSecond
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *BoundedWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued. Nothing may be written afterwards.
+// Close writes the queued lines. Write must not be called afterwards.
 func (w *BoundedWriter) Close() error {
 	close(w.lines)
 	w.done.Wait()
 	return nil
 }
 
-// run writes lines, many at a time.
+// run writes the queued lines, many at a time.
 func (w *BoundedWriter) run() {
 	defer w.done.Done()
 	var (
-		buf      []byte
-		told     int64
-		toldAt   time.Time
-		maxBatch = 64 << 10
+		buf        []byte
+		reported   int64
+		reportedAt time.Time
+		maxBatch   = 64 << 10
 	)
 	for line := range w.lines {
 		buf = append(buf[:0], line...)
@@ -92,11 +92,11 @@
 				more = false
 			}
 		}
-		if n := w.dropped.Load(); n != told && time.Since(toldAt) > reportDropped {
+		if n := w.dropped.Load(); n != reported && time.Since(reportedAt) > dropReportInterval {
 			buf = fmt.Appendf(buf, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"total\":%d}\n", n)
-			told, toldAt = n, time.Now()
+			reported, reportedAt = n, time.Now()
 		}
-		// Standard output that is gone leaves nobody to tell.
+		// If the output fails, there is nowhere left to report the error.
 		_, _ = w.out.Write(buf)
 	}
 }
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// stuckWriter takes one write and then blocks until it is released.
-type stuckWriter struct {
+// blockedWriter blocks writes until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	got     bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return w.got.Write(p)
 }
 
-// Whoever reads the log stops reading. Requests must not wait for it: lines are
-// dropped and counted, and what was queued comes out when it reads again.
+// The reader of the log stops reading. Requests must not wait for it: lines are dropped and
+// counted, and the queued ones are written when it reads again.
 func TestBoundedWriterNeverBlocks(t *testing.T) {
-	out := &stuckWriter{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewBoundedWriter(out)
-	const lines = 2 * boundedLines
+	const lines = 2 * maxQueuedLines
 	for range lines {
 		if _, err := w.Write([]byte("x\n")); err != nil {
 			t.Fatal(err)
@@ -36,6 +36,6 @@
 		t.Fatal(err)
 	}
 	if n := bytes.Count(out.got.Bytes(), []byte("x\n")); int64(n)+dropped != lines {
-		t.Errorf("%d lines came out and %d were dropped, of %d", n, dropped, lines)
+		t.Errorf("%d lines were written and %d dropped, of %d", n, dropped, lines)
 	}
 }
--- a/telemetry/repeated.go
+++ b/telemetry/repeated.go
@@ -5,19 +5,19 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Repeated tells of something that is tried again and again: every failure is counted,
-// and a line is written when it begins to fail and when it succeeds again. It is not
-// safe for concurrent use.
+// Repeated reports the failures of an operation that is retried without end: it counts each
+// failure, and logs a line when the operation begins to fail and when it succeeds again. It is
+// not safe for concurrent use.
 type Repeated struct {
-	Name    string        // of the counter: Name + "_failures"
-	What    string        // what is tried, in a line
+	Name    string        // the counter is Name + "_failures"
+	What    string        // operation, as the subject of the log lines
 	Log     *logrus.Entry // may be nil as long as nothing fails
 	Metrics tally.Scope   // likewise
 
 	failing bool
 }
 
-// Ended notes how a try ended and reports whether it succeeded.
+// Ended records the result of a try and reports whether it succeeded.
 func (r *Repeated) Ended(err error) bool {
 	if err != nil {
 		r.Metrics.Counter(r.Name + "_failures").Inc(1)
--- a/telemetry/repeated_test.go
+++ b/telemetry/repeated_test.go
@@ -10,17 +10,17 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// The host list cannot be read for a while, and an operator finds nothing about it: each
-// read that failed was tried again without a word. Each is counted, and the log has one
-// line for the beginning and one for the end, however many reads fail.
-func TestRepeatedFailuresAreTold(t *testing.T) {
+// While the host list could not be read, operators found no sign of it: failed reads were
+// retried silently. Each failure is counted, and the log gets one line when failures begin and
+// one when they end, however many reads fail.
+func TestRepeatedFailureIsCountedAndLoggedOnce(t *testing.T) {
 	logger, lines := logtest.NewNullLogger()
 	scope := tally.NewTestScope("", nil)
 	r := Repeated{Name: "host_list_reads", What: "reading the host list", Log: logrus.NewEntry(logger), Metrics: scope}
 	down := errors.New("down")
 	for _, err := range []error{nil, down, down, down, nil, nil} {
 		if ok := r.Ended(err); ok != (err == nil) {
-			t.Errorf("a try that ended with %v: %v", err, ok)
+			t.Errorf("a try that ended with %v: success %v", err, ok)
 		}
 	}
 	var got []string
@@ -31,6 +31,6 @@
 		t.Error(diff)
 	}
 	if n := scope.Snapshot().Counters()["host_list_reads_failures+"].Value(); n != 3 {
-		t.Errorf("%d failures are counted, want 3", n)
+		t.Errorf("%d failures counted, want 3", n)
 	}
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,8 +1,8 @@
-// Package telemetry sets up metrics, traces and logs of one process.
+// Package telemetry sets up the metrics, traces and logs of a process.
 //
-// Metrics are counters first: a line is logged only when a state changes.
-// Metric names carry their unit. Traces have a span for each hop of a request
-// and travel between processes in the W3C traceparent header.
+// Repeated events are counted in metrics; a line is logged only when a state changes. Metric
+// names carry their unit. Traces have a span for each hop of a request and are propagated
+// between processes in the W3C traceparent header.
 package telemetry
 
 import (
@@ -27,22 +27,22 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// reportEvery is how often counters reach the scrape endpoint.
-const reportEvery = time.Second
+// reportInterval is how often metrics are passed on to the scrape endpoint.
+const reportInterval = time.Second
 
-// Options configure the telemetry of a process.
+// Options configures the telemetry of a process.
 type Options struct {
-	Service   string // name in traces
-	Host      string // tag of every metric and trace
-	Zone      string
-	OTLP      string  // URL of an OTLP/HTTP receiver; empty for none
-	TraceFile string  // file that spans are written to as JSON; empty for none
-	Sample    float64 // share of traces that are exported; zero for all
-	LogLevel  string  // a logrus level; empty for info
-	LogOutput io.Writer
+	Service   string    // service.name in traces
+	Host      string    // added to every metric, trace and log line
+	Zone      string    // likewise
+	OTLP      string    // URL of an OTLP/HTTP receiver; empty for none
+	TraceFile string    // file to which spans are appended as JSON; empty for none
+	Sample    float64   // share of traces that are exported; 0 for all
+	LogLevel  string    // logrus level; empty for info
+	LogOutput io.Writer // nil for standard error
 }
 
-// SetupError reports a part of the telemetry that could not be set up.
+// SetupError reports a part of the telemetry that could not be set up or closed.
 type SetupError struct {
 	Part  string
 	Cause error
@@ -54,7 +54,7 @@
 // Unwrap returns the cause.
 func (e *SetupError) Unwrap() error { return e.Cause }
 
-// Telemetry is what the parts of a process report to.
+// Telemetry holds the metrics, traces and logs that the parts of a process report to.
 type Telemetry struct {
 	Metrics tally.Scope
 	Tracer  trace.Tracer
@@ -64,7 +64,7 @@
 	closers []func(context.Context) error
 }
 
-// New sets up telemetry. Close flushes it.
+// New sets up telemetry. Close flushes it. Errors are of type *SetupError.
 func New(ctx context.Context, opts Options) (*Telemetry, error) {
 	t := &Telemetry{}
 	if err := t.setupLog(opts); err != nil {
@@ -77,7 +77,7 @@
 	return t, nil
 }
 
-// Discard returns telemetry that keeps nothing.
+// Discard returns telemetry that discards everything.
 func Discard() *Telemetry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -89,10 +89,10 @@
 	}
 }
 
-// Handler serves the metrics for scraping.
+// Handler returns the handler that serves the metrics to scrapers.
 func (t *Telemetry) Handler() http.Handler { return t.handler }
 
-// Close flushes spans and metrics.
+// Close flushes spans and metrics and returns the first error.
 func (t *Telemetry) Close(ctx context.Context) error {
 	var first error
 	for _, c := range t.closers {
@@ -128,20 +128,20 @@
 		Tags:           map[string]string{"host": opts.Host, "zone": opts.Zone},
 		CachedReporter: reporter,
 		Separator:      tallyprom.DefaultSeparator,
-	}, reportEvery)
+	}, reportInterval)
 	t.Metrics = scope
 	t.handler = reporter.HTTPHandler()
 	t.closers = append(t.closers, func(context.Context) error { return closer.Close() })
 }
 
 func (t *Telemetry) setupTraces(ctx context.Context, opts Options) error {
-	var processors []sdktrace.TracerProviderOption
+	var options []sdktrace.TracerProviderOption
 	if opts.OTLP != "" {
 		exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(opts.OTLP))
 		if err != nil {
 			return &SetupError{Part: "otlp", Cause: err}
 		}
-		processors = append(processors, sdktrace.WithBatcher(exporter))
+		options = append(options, sdktrace.WithBatcher(exporter))
 	}
 	if opts.TraceFile != "" {
 		file, err := os.OpenFile(opts.TraceFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -152,22 +152,22 @@
 		if err != nil {
 			return &SetupError{Part: "trace file", Cause: err}
 		}
-		processors = append(processors, sdktrace.WithBatcher(exporter))
+		options = append(options, sdktrace.WithBatcher(exporter))
 		t.closers = append(t.closers, func(context.Context) error { return file.Close() })
 	}
-	if len(processors) == 0 {
-		processors = append(processors, sdktrace.WithSampler(sdktrace.NeverSample()))
+	if len(options) == 0 {
+		options = append(options, sdktrace.WithSampler(sdktrace.NeverSample()))
 	}
 	if opts.Sample > 0 {
 		sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(opts.Sample))
-		processors = append([]sdktrace.TracerProviderOption{sdktrace.WithSampler(sampler)}, processors...)
+		options = append([]sdktrace.TracerProviderOption{sdktrace.WithSampler(sampler)}, options...)
 	}
-	processors = append(processors, sdktrace.WithResource(resource.NewSchemaless(
+	options = append(options, sdktrace.WithResource(resource.NewSchemaless(
 		attribute.String("service.name", opts.Service),
 		attribute.String("host.name", opts.Host),
 		attribute.String("cloud.availability_zone", opts.Zone),
 	)))
-	provider := sdktrace.NewTracerProvider(processors...)
+	provider := sdktrace.NewTracerProvider(options...)
 	t.Tracer = provider.Tracer("github.com/fireflyfold/fireflyfold")
 	t.closers = append([]func(context.Context) error{provider.Shutdown}, t.closers...)
 	otel.SetTextMapPropagator(propagation.TraceContext{})
