--- a/losses/command.go
+++ b/losses/command.go
@@ -23,13 +23,13 @@
 func (*Command) Name() string { return "explain-run" }
 
 // Synopsis implements subcommands.Command.
-func (*Command) Synopsis() string { return "tell from hosts' logs which jobs came late and why" }
+func (*Command) Synopsis() string { return "report late jobs and their causes from the logs of hosts" }
 
 // Usage implements subcommands.Command.
 func (*Command) Usage() string {
 	return `explain-run [--by queue|workspace|zone|second|job] [FILE...]
-  Reads the log lines of all hosts of a region (standard input without files) and
-  counts the jobs that came late by what took most of their time.
+  Reads the logs of all hosts of a region (standard input if no files are given) and
+  counts late jobs by what took most of their time.
 
   fireflyfold explain-run --by second all.log
 `
@@ -37,19 +37,19 @@
 
 // SetFlags implements subcommands.Command.
 func (c *Command) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.by, "by", "queue", "what a row stands for: queue, workspace, zone, second or job")
+	f.StringVar(&c.by, "by", "queue", "group rows by queue, workspace, zone, second or job")
 }
 
-// groups are how losses can be summed.
-var groups = map[string]func(Loss) string{
-	"queue":     func(l Loss) string { return l.Queue },
-	"workspace": func(l Loss) string { return l.Workspace },
-	"zone":      func(l Loss) string { return l.Zone },
-	"second":    func(l Loss) string { return l.At.UTC().Format(time.TimeOnly) },
-	"job":       func(l Loss) string { return l.Job },
+// groups returns the row of a late job, by the value of --by.
+var groups = map[string]func(LateJob) string{
+	"queue":     func(j LateJob) string { return j.Queue },
+	"workspace": func(j LateJob) string { return j.Workspace },
+	"zone":      func(j LateJob) string { return j.Zone },
+	"second":    func(j LateJob) string { return j.At.UTC().Format(time.TimeOnly) },
+	"job":       func(j LateJob) string { return j.Job },
 }
 
-// UnknownGroupError reports a --by that names no group.
+// UnknownGroupError reports a value of --by that names no group.
 type UnknownGroupError struct{ By string }
 
 // Error implements error.
@@ -78,37 +78,38 @@
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return errors.Wrap(err, "log of a host")
+			return errors.Wrap(err, "open log file")
 		}
 		defer f.Close()
 		in = append(in, f)
 	}
 	rep, err := Read(io.MultiReader(in...))
 	if err != nil {
-		return errors.Wrap(err, "read the logs")
+		return errors.Wrap(err, "read logs")
 	}
 	return Print(out, rep, c.by)
 }
 
-// Print writes a table of the losses, a row for each group that --by names: how many
-// jobs came late, how many of them past any use, and what took most of their time.
+// Print writes a table of the late jobs, with a row for each group that by names: how many jobs
+// were late, how many of them too late to be of use, and what took most of their time. It
+// returns an *UnknownGroupError if by names no group.
 func Print(out io.Writer, rep *Report, by string) error {
 	group, known := groups[by]
 	if !known {
 		return &UnknownGroupError{By: by}
 	}
-	losses := rep.Losses()
-	fmt.Fprintf(out, "%d jobs completed, %d late; %d requests refused; %d lines unread\n", rep.Completed(), len(losses), rep.Refused, rep.Unread)
-	rows := make(map[string]map[Part]int)
-	worthless := make(map[string]int)
-	for _, l := range losses {
-		name := group(l)
+	late := rep.LateJobs()
+	fmt.Fprintf(out, "%d jobs completed, %d late; %d requests refused; %d lines unread\n", rep.Completed(), len(late), rep.Refused, rep.Unread)
+	rows := make(map[string]map[Phase]int)
+	pastUse := make(map[string]int)
+	for _, j := range late {
+		name := group(j)
 		if rows[name] == nil {
-			rows[name] = make(map[Part]int)
+			rows[name] = make(map[Phase]int)
 		}
-		rows[name][l.Part]++
-		if l.Worthless {
-			worthless[name]++
+		rows[name][j.Phase]++
+		if j.PastUse {
+			pastUse[name]++
 		}
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -119,30 +120,30 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", name, sum(rows[name]), worthless[name], describe(rows[name]))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", name, sum(rows[name]), pastUse[name], describe(rows[name]))
 	}
 	return w.Flush()
 }
 
-func sum(parts map[Part]int) int {
+func sum(phases map[Phase]int) int {
 	n := 0
-	for _, jobs := range parts {
+	for _, jobs := range phases {
 		n += jobs
 	}
 	return n
 }
 
-// describe lists the parts of a row, in the order of a job's way.
-func describe(parts map[Part]int) string {
+// describe lists the phases of a row, in the order of Phases.
+func describe(phases map[Phase]int) string {
 	text := ""
-	for _, p := range Parts {
-		if parts[p] == 0 {
+	for _, p := range Phases {
+		if phases[p] == 0 {
 			continue
 		}
 		if text != "" {
 			text += "; "
 		}
-		text += fmt.Sprintf("%s %d", p, parts[p])
+		text += fmt.Sprintf("%s %d", p, phases[p])
 	}
 	return text
 }
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Part is a part of a job's way.
-type Part string
+// Phase is a phase between the submission and the end of a job.
+type Phase string
 
-// Parts of a job's way, in its order.
+// Phases of a job, in order.
 const (
-	PartAccept Part = "accepted by the log"
-	PartAdvice Part = "waited for advice"
-	PartRoom   Part = "waited for room"
-	PartCap    Part = "waited for its workspace's cap"
-	PartAgain  Part = "run again: run lost or stopped"
-	PartFailed Part = "run again: run failed"
-	PartRun    Part = "ran, and its end was noted"
+	PhaseAccept      Phase = "accepted by the log"
+	PhaseAdvice      Phase = "waited for advice"
+	PhaseCapacity    Phase = "waited for room"
+	PhaseCap         Phase = "waited for its workspace's cap"
+	PhaseRerunLost   Phase = "run again: run lost or stopped"
+	PhaseRerunFailed Phase = "run again: run failed"
+	PhaseRun         Phase = "ran, and its end was noted"
 )
 
-// Parts lists them for tables.
-var Parts = []Part{PartAccept, PartAdvice, PartRoom, PartCap, PartAgain, PartFailed, PartRun}
+// Phases lists all phases, in the order in which tables list them.
+var Phases = []Phase{PhaseAccept, PhaseAdvice, PhaseCapacity, PhaseCap, PhaseRerunLost, PhaseRerunFailed, PhaseRun}
 
-// heldByCap is how the log names a step that waits for its workspace's cap.
+// heldByCap is the value of held_by for a step that waited for its workspace's cap.
 const heldByCap = "cap"
 
-// worthlessAfter objectives a job is worth nothing to its caller any more.
-const worthlessAfter = 3
+// pastUseFactor objectives after its acceptance, the result of a job is of no use to its caller.
+const pastUseFactor = 3
 
-// Report is what the logs tell.
+// Report is the content of the logs, by job.
 type Report struct {
-	Unread  int // lines that are no JSON object
+	Unread  int // lines without a JSON object
 	Refused int // requests that were refused
 	jobs    map[string]*job
 }
 
-// job is what is known of one job.
+// job holds the log lines of one job.
 type job struct {
-	accepted  *line
-	completed *line
-	assigned  []*line
-	broke     []*line // runs that ended without being done
+	accepted     *line
+	completed    *line
+	assigned     []*line
+	notCompleted []*line // runs that were lost, stopped or failed
 }
 
-func (r *Report) take(l *line) {
+func (r *Report) add(l *line) {
 	if l.Msg == msgRefused {
 		r.Refused++
 		return
@@ -64,44 +64,44 @@
 		}
 	case msgAssigned:
 		j.assigned = append(j.assigned, l)
-	case msgLost, msgStopped, msgFailedRun:
-		j.broke = append(j.broke, l)
+	case msgRunLost, msgRunStopped, msgRunFailed:
+		j.notCompleted = append(j.notCompleted, l)
 	case msgCompleted:
 		j.completed = l
 	}
 }
 
-// Loss is a job that came late, and what took most of its time.
-type Loss struct {
+// LateJob is a job that completed after its objective, and what took most of its time.
+type LateJob struct {
 	Job       string
 	Queue     string
 	Workspace string
 	Zone      string        // of the host that accepted it
 	At        time.Time     // when it was accepted
 	Took      time.Duration // from acceptance to its end
-	Worthless bool          // over three objectives
-	Part      Part
+	PastUse   bool          // took more than pastUseFactor objectives
+	Phase     Phase
 }
 
-// Losses returns the completed jobs that came late, in the order of acceptance.
-func (r *Report) Losses() []Loss {
-	var out []Loss
+// LateJobs returns the completed jobs that were late, in the order of acceptance.
+func (r *Report) LateJobs() []LateJob {
+	var out []LateJob
 	for id, j := range r.jobs {
 		if j.accepted == nil || j.completed == nil || j.completed.ObjectiveMs <= 0 || j.completed.AfterMs <= j.completed.ObjectiveMs {
 			continue
 		}
-		out = append(out, Loss{
+		out = append(out, LateJob{
 			Job: id, Queue: j.accepted.Queue, Workspace: j.accepted.Workspace, Zone: j.accepted.Zone, At: j.accepted.Time,
-			Took:      time.Duration(j.completed.AfterMs) * time.Millisecond,
-			Worthless: j.completed.AfterMs > worthlessAfter*j.completed.ObjectiveMs,
-			Part:      j.longestPart(),
+			Took:    time.Duration(j.completed.AfterMs) * time.Millisecond,
+			PastUse: j.completed.AfterMs > pastUseFactor*j.completed.ObjectiveMs,
+			Phase:   j.longestPhase(),
 		})
 	}
-	slices.SortFunc(out, func(a, b Loss) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Job, b.Job)) })
+	slices.SortFunc(out, func(a, b LateJob) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Job, b.Job)) })
 	return out
 }
 
-// Completed counts the jobs that were completed.
+// Completed returns the number of completed jobs.
 func (r *Report) Completed() int {
 	n := 0
 	for _, j := range r.jobs {
@@ -112,23 +112,23 @@
 	return n
 }
 
-// longestPart returns the part of the job's way that took the most time. The time
-// from its first to its last assignment counts as running again, by what broke the
-// runs between; of a wait, what advice took is counted apart.
-func (j *job) longestPart() Part {
-	took := map[Part]time.Duration{PartAccept: ms(j.accepted.AcceptMs)}
+// longestPhase returns the phase that took the most time. The time from the first to the last
+// assignment counts as running again, by the cause of most reruns; within a wait, the time that
+// advice took is counted separately.
+func (j *job) longestPhase() Phase {
+	took := map[Phase]time.Duration{PhaseAccept: ms(j.accepted.AcceptMs)}
 	if len(j.assigned) == 0 {
-		return PartRoom
+		return PhaseCapacity
 	}
 	slices.SortFunc(j.assigned, func(a, b *line) int { return a.Time.Compare(b.Time) })
 	first, last := j.assigned[0], j.assigned[len(j.assigned)-1]
 	advice := min(max(ms(first.AdvisedMs), 0), ms(first.WaitedMs))
-	took[PartAdvice] = advice
-	took[waitOf(first)] += ms(first.WaitedMs) - advice
-	took[j.againPart()] += last.Time.Sub(first.Time)
-	took[PartRun] = j.completed.Time.Sub(last.Time)
-	best := PartRun
-	for _, p := range Parts {
+	took[PhaseAdvice] = advice
+	took[waitPhase(first)] += ms(first.WaitedMs) - advice
+	took[j.rerunPhase()] += last.Time.Sub(first.Time)
+	took[PhaseRun] = j.completed.Time.Sub(last.Time)
+	best := PhaseRun
+	for _, p := range Phases {
 		if took[p] > took[best] {
 			best = p
 		}
@@ -138,27 +138,27 @@
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func waitOf(l *line) Part {
+func waitPhase(l *line) Phase {
 	if l.HeldBy == heldByCap {
-		return PartCap
+		return PhaseCap
 	}
-	return PartRoom
+	return PhaseCapacity
 }
 
-// againPart tells why runs were repeated, by what broke the most of them. Without a
-// broken run, a further assignment is that of a later step.
-func (j *job) againPart() Part {
+// rerunPhase returns the phase for the time between assignments, by how most of the runs in it
+// ended. If none was lost, stopped or failed, a further assignment is that of a later step.
+func (j *job) rerunPhase() Phase {
 	failed := 0
-	for _, l := range j.broke {
-		if l.Msg == msgFailedRun {
+	for _, l := range j.notCompleted {
+		if l.Msg == msgRunFailed {
 			failed++
 		}
 	}
 	switch {
-	case len(j.broke) == 0:
-		return PartRun
-	case 2*failed > len(j.broke):
-		return PartFailed
+	case len(j.notCompleted) == 0:
+		return PhaseRun
+	case 2*failed > len(j.notCompleted):
+		return PhaseRerunFailed
 	}
-	return PartAgain
+	return PhaseRerunLost
 }
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -23,9 +23,9 @@
 not a line of ours
 `
 
-// A job that ran twice, one that its workspace's cap held, and one on time: the
-// table names what took most of the time of the first two, and passes over the third.
-func TestLateJobsAreExplained(t *testing.T) {
+// Of a job that ran twice, one that waited for its workspace's cap and one on time, the table
+// lists the first two under the phase that took most of their time.
+func TestTableNamesLongestPhaseOfLateJobs(t *testing.T) {
 	rep, err := Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 	}
 }
 
-// Steps that follow one another are assigned one after the other; that is no run
-// that was repeated.
-func TestLaterStepsAreNotRepeats(t *testing.T) {
+// Successive steps of a job are assigned one after the other. The time between them does not
+// count as a rerun.
+func TestLaterStepsDoNotCountAsReruns(t *testing.T) {
 	const steps = `{"time":"2026-01-01T00:00:10Z","msg":"accepted","job":"j","queue":"q","ms":8}
 {"time":"2026-01-01T00:00:10.1Z","msg":"assigned","job":"j","step":0,"waited_ms":20}
 {"time":"2026-01-01T00:00:15Z","msg":"assigned","job":"j","step":1,"waited_ms":20}
@@ -56,14 +56,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := rep.Losses()
-	if len(got) != 1 || got[0].Part != PartRun {
-		t.Errorf("explained as %+v", got)
+	got := rep.LateJobs()
+	if len(got) != 1 || got[0].Phase != PhaseRun {
+		t.Errorf("late jobs: %+v", got)
 	}
 }
 
-// A group that does not exist is refused with what there is.
-func TestUnknownGroup(t *testing.T) {
+// Print returns an UnknownGroupError for a group that does not exist.
+func TestUnknownGroupIsAnError(t *testing.T) {
 	err := Print(&bytes.Buffer{}, &Report{}, "colour")
 	if _, ok := err.(*UnknownGroupError); !ok {
 		t.Errorf("got %v", err)
--- a/losses/read.go
+++ b/losses/read.go
@@ -1,5 +1,5 @@
-// Package losses reads the logs of a region's hosts and tells which jobs came late
-// and where their time went: a help for whoever is on call after a bad hour.
+// Package losses finds the jobs that completed late in the logs of a region's hosts, and what
+// took most of their time. It is meant for on-call engineers after an incident.
 package losses
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// line is the part of a host's log line that is read; docs/OPERATIONS.md lists them.
+// line is the part of a host's log line that is read; docs/OPERATIONS.md lists the fields.
 type line struct {
 	Time      time.Time `json:"time"`
 	Zone      string    `json:"zone"`
@@ -28,23 +28,23 @@
 	ObjectiveMs int64 `json:"objective_ms"`
 }
 
-// Log messages that tell of a job's way.
+// Log messages that mark the phases of a job.
 const (
-	msgAccepted  = "accepted"
-	msgRefused   = "refused"
-	msgAssigned  = "assigned"
-	msgLost      = "run lost"
-	msgStopped   = "run stopped"
-	msgFailedRun = "run failed"
-	msgCompleted = "completed"
+	msgAccepted   = "accepted"
+	msgRefused    = "refused"
+	msgAssigned   = "assigned"
+	msgRunLost    = "run lost"
+	msgRunStopped = "run stopped"
+	msgRunFailed  = "run failed"
+	msgCompleted  = "completed"
 )
 
-// maxLine bounds one line of a log, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read takes in the lines of all hosts, in any order. Text before the first brace of
-// a line, as collectors of logs put it there, is passed over; what is no JSON object
-// is counted in Unread.
+// Read reads the log lines of all hosts, in any order. It skips text before the first brace of
+// a line, such as prefixes of log collectors, and counts lines without a JSON object in Unread.
+// A line longer than maxLine is an error.
 func Read(r io.Reader) (*Report, error) {
 	rep := &Report{jobs: make(map[string]*job)}
 	scanner := bufio.NewScanner(r)
@@ -57,7 +57,7 @@
 			rep.Unread++
 			continue
 		}
-		rep.take(&l)
+		rep.add(&l)
 	}
 	return rep, scanner.Err()
 }
