--- a/logwriter/hedge.go
+++ b/logwriter/hedge.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// hedgeFactor times the usual time of an answer is how long a call goes
-	// without one before the same call is sent once more beside it. Answers of a
-	// sound store vary by less than this.
+	// hedgeFactor times the mean latency of the store is the delay after which a call without
+	// a response is sent again, beside the first. The latency of a healthy store varies by less
+	// than this factor.
 	hedgeFactor = 3
-	// leastHedge bounds that wait from below: a pause of our own must not look
-	// like a lost answer.
-	leastHedge = 40 * time.Millisecond
-	// mostHedges is how many times a call is sent at most in one try; each waits
-	// twice as long as the one before, so that a slow store is not loaded more.
-	mostHedges = 5
+	// minHedgeDelay is the minimum of that delay, so that a pause of this process is not taken
+	// for a lost response.
+	minHedgeDelay = 40 * time.Millisecond
+	// maxSends bounds how many times a call is sent in one try. The delay doubles each time, so
+	// that a slow store gets little extra load.
+	maxSends = 5
 )
 
-// attempt is how one sending of a call ended.
+// attempt is the result of sending a call once.
 type attempt struct {
 	err  error
-	took time.Duration // from this sending to its answer
+	took time.Duration // from sending to the response
 }
 
-// hedged makes a call, and sends it again on another connection while it has no
-// answer. Its sequence number makes the repeat idempotent: the store carries the
-// call out once and gives both the same answer.
+// appendHedged makes a call as a hedged request: as long as it has no response, it is sent
+// again on another connection. Its sequence number is the idempotency key: the store executes
+// the call once and gives the same response to each sending.
 //
-// The guard is against a store that carries calls out and loses a part of the
-// answers, each of which would cost a whole timeout: with a third of them lost, an
-// acceptance took 200 ms in the median instead of 11. The earlier attempts are not
-// given up, so that a store that is slow for everyone still answers the first one.
-func (w *Writer) hedged(ctx context.Context, timeout time.Duration, a platform.Append) error {
+// It guards against a store that executes calls but loses some of the responses, each of which
+// would cost a whole timeout: with a third of them lost, the median time to accept a submission
+// was 200 ms instead of 11. Earlier sendings are not cancelled, so that a store that is slow for
+// all hosts can still respond to the first one.
+func (w *Writer) appendHedged(ctx context.Context, timeout time.Duration, a platform.Append) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ended := make(chan attempt, mostHedges)
+	ended := make(chan attempt, maxSends)
 	send := func() {
 		w.calls.Go(func() {
 			sentAt := w.now()
@@ -46,33 +46,33 @@
 		})
 	}
 	send()
-	sent, pending, wait := 1, 1, w.hedgeAfter()
+	sent, pending, wait := 1, 1, w.hedgeDelay()
 	next := time.NewTimer(wait)
 	defer next.Stop()
-	quiet := time.NewTimer(max(quietAfter, slowAnswers*w.AnswerTime()))
-	defer quiet.Stop()
-	var unknown error
+	unresponsive := time.NewTimer(max(unresponsiveAfter, unresponsiveFactor*w.AnswerTime()))
+	defer unresponsive.Stop()
+	var unknownOutcome error
 	for {
 		select {
 		case e := <-ended:
 			pending--
 			switch {
-			case settles(e.err):
-				w.answered(e.took)
+			case conclusive(e.err):
+				w.observeLatency(e.took)
 				return e.err
 			case !platform.IsRefused(e.err):
-				unknown = e.err
+				unknownOutcome = e.err
 			}
 			if pending == 0 {
-				if unknown != nil {
-					return unknown
+				if unknownOutcome != nil {
+					return unknownOutcome
 				}
 				return e.err
 			}
-		case <-quiet.C:
-			w.quiet()
+		case <-unresponsive.C:
+			w.markUnhealthy()
 		case <-next.C:
-			if sent == mostHedges {
+			if sent == maxSends {
 				continue
 			}
 			send()
@@ -82,21 +82,20 @@
 	}
 }
 
-// settles reports whether an answer tells for certain what became of the call,
-// whichever of its sendings it is to.
-func settles(err error) bool {
+// conclusive reports whether a response determines the outcome of the call, whichever of its
+// sendings it belongs to.
+func conclusive(err error) bool {
 	return err == nil || platform.Fenced(err) || platform.OutOfSequence(err)
 }
 
-// hedgeAfter is how long to wait for an answer before a call is sent again.
-func (w *Writer) hedgeAfter() time.Duration {
-	return max(hedgeFactor*max(w.usual, w.AnswerTime()), leastHedge)
+// hedgeDelay returns the time without a response after which a call is sent again.
+func (w *Writer) hedgeDelay() time.Duration {
+	return max(hedgeFactor*max(w.meanLatency, w.AnswerTime()), minHedgeDelay)
 }
 
-// answered notes how long the answer to one sending took. The waits before it
-// do not count: with them, lost answers would make the next repeats come later and
-// later.
-func (w *Writer) answered(after time.Duration) {
-	w.last.Store(int64(after))
-	w.usual += (after - w.usual) / usualMemory
+// observeLatency records the time from one sending to its response. The delays before that
+// sending are not included: otherwise each lost response would make later repeats later still.
+func (w *Writer) observeLatency(took time.Duration) {
+	w.lastLatency.Store(int64(took))
+	w.meanLatency += (took - w.meanLatency) / latencyWindow
 }
--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -1,12 +1,11 @@
-// Package logwriter appends records to a topic of the platform's log, many to a
-// call and one call at a time. Calls carry a producer, an epoch and a sequence
-// number, so that one whose answer was lost is repeated without writing its
-// records twice; the repeat goes out while the first may still be answered.
+// Package logwriter appends records to a topic of the platform's log, in batches and one call
+// at a time. Calls carry a producer, an epoch and a sequence number, so that a call whose
+// response was lost can be repeated without writing its records twice. Calls are hedged: the
+// repeat is sent while the first one may still be answered.
 //
-// A topic has a few partitions, of which one is used as long as it answers. When
-// it does not, the same records go to the next one: some partitions may be down
-// while others work. A record can then stand in two partitions; readers count
-// it once.
+// A topic has a few partitions. The writer uses one for as long as it answers, and appends the
+// same records to the next one when it does not, as some partitions may be down while others
+// work. A record can then be in two partitions; readers count it once.
 package logwriter
 
 import (
@@ -22,117 +21,120 @@
 )
 
 const (
-	// leastTimeout bounds a try, with all its repeats, from below: the store
-	// answers in some 10 ms, and within 0.6 s when it is slow for everyone. A try
-	// that is given up before its answer comes only makes such a store slower.
-	leastTimeout = time.Second
-	// quietAfter is how long a try goes without any answer before the store counts
-	// as out of reach; slowAnswers times the newest answer's time if that is longer.
-	quietAfter  = 400 * time.Millisecond
-	slowAnswers = 2
-	// timeoutFactor times the usual time of an answer is how long a try may take.
+	// minTimeout is the minimum timeout of a try, hedged requests included: the store answers in
+	// some 10 ms, and within 0.6 s when it is slow for all hosts. Giving up a try before its
+	// response only adds load to such a store.
+	minTimeout = time.Second
+	// unresponsiveAfter is how long a try goes without any response before the store counts as
+	// unreachable, or unresponsiveFactor times the newest latency if that is longer.
+	unresponsiveAfter  = 400 * time.Millisecond
+	unresponsiveFactor = 2
+	// timeoutFactor times the mean latency is the timeout of the first try of a batch.
 	timeoutFactor = 8
-	// usualMemory is over how many answers the usual time is a mean.
-	usualMemory = 8
-	// longestTimeout bounds a try from above.
-	longestTimeout = 3 * time.Second
-	// firstPause and longestPause bound the pause between tries.
-	firstPause   = 20 * time.Millisecond
-	longestPause = 250 * time.Millisecond
-	// recordOverhead is what framing adds to a record.
+	// latencyWindow is over how many responses the mean latency is smoothed.
+	latencyWindow = 8
+	// maxTimeout is the maximum timeout of a try.
+	maxTimeout = 3 * time.Second
+	// minBackoff and maxBackoff bound the pause between tries, which doubles each time.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 250 * time.Millisecond
+	// recordOverhead is the framing overhead of a record in bytes.
 	recordOverhead = 4
 )
 
-// Store is the part of the platform's client that is used.
+// Store is the part of the platform's client that a Writer uses.
 type Store interface {
 	Append(ctx context.Context, timeout time.Duration, a platform.Append) (platform.Appended, error)
 }
 
-// Target names where records go and as whom.
+// Target is where records are appended, and the identity under which they are.
 type Target struct {
 	Topic     string
 	Parts     int // partitions that may be used
 	Producer  string
 	Epoch     int64
 	FirstSeq  int64
-	CallBytes int // most bytes of one call
+	CallBytes int // maximum size of a call
 }
 
-// ReplacedError reports that a writer with a higher epoch has taken over.
+// ReplacedError reports that a writer with a higher epoch has taken over. Its cause is the
+// refusal by the log.
 type ReplacedError struct{ Cause error }
 
 // Error implements error.
 func (e *ReplacedError) Error() string { return "another writer took over: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the refusal by the log.
 func (e *ReplacedError) Unwrap() error { return e.Cause }
 
-// Kept tells that a record is in the log.
+// Kept is the ack of a record: it is in the log.
 type Kept struct {
-	SentAt time.Duration // when the call that succeeded was sent (package boottime)
+	SentAt time.Duration // when the acked try began (package boottime)
 }
 
-// Pending is a record that was handed in.
+// Pending is a record that was passed to Write.
 type Pending struct {
-	data   []byte
-	kept   func(Kept)
-	writer *Writer
-	taken  bool // part of a call that was sent: it may be in the log
-	gone   bool // withdrawn
+	data      []byte
+	kept      func(Kept)
+	writer    *Writer
+	sent      bool // part of a call that was sent: the record may be in the log
+	withdrawn bool // skipped by nextBatch
 }
 
-// Withdraw takes a record back. It reports whether that succeeded: if not, the
-// record may be in the log or may come there later.
+// Withdraw removes a record from the queue and reports whether that succeeded: if not, the
+// record may be in the log or may be appended later.
 func (p *Pending) Withdraw() bool {
 	p.writer.mu.Lock()
 	defer p.writer.mu.Unlock()
-	if p.taken {
+	if p.sent {
 		return false
 	}
-	p.gone = true
+	p.withdrawn = true
 	return true
 }
 
-// Writer writes to one Target.
+// Writer appends records to one Target. Its methods are safe for concurrent use; Run is called
+// once.
 type Writer struct {
-	store  Store
-	target Target
-	lanes  []lane
-	part   int           // partition in use
-	batch  int64         // number of the batch that is being written
-	usual  time.Duration // usual time of an answer
-	last   atomic.Int64  // time of the newest answer
-	calls  conc.WaitGroup
-	now    func() time.Duration // package boottime, but in tests
+	store       Store
+	target      Target
+	partitions  []partition
+	active      int           // partition in use
+	batch       int64         // number of the batch that is being appended
+	meanLatency time.Duration // smoothed time from a sending to its response
+	lastLatency atomic.Int64  // the newest of these times
+	calls       conc.WaitGroup
+	now         func() time.Duration // package boottime, except in tests
 
-	mu      sync.Mutex
-	queue   []*Pending
-	wake    chan struct{}
-	healthy bool          // the last try succeeded
-	refused time.Duration // since when every answer was a refusal; 0 if the last one was not
+	mu           sync.Mutex
+	queue        []*Pending
+	wake         chan struct{}
+	healthy      bool          // the last try succeeded, and the present one is not unanswered for too long
+	refusedSince time.Duration // when the present series of refusals began; 0 if the last try was not refused
 }
 
-// lane is one partition.
-type lane struct {
-	seq int64
-	// open is a call without an answer. It is settled before the next one goes
-	// there: its sequence number may or may not be taken.
-	open  *platform.Append
-	batch int64 // which batch the open call holds
+// partition is the writer's state of one partition.
+type partition struct {
+	seq int64 // sequence number of the next call
+	// unresolved is a call without a conclusive response, or nil. It is repeated before the
+	// next call to the partition, as the log may or may not have executed it and so used up
+	// its sequence number.
+	unresolved *platform.Append
+	batch      int64 // number of the batch that the unresolved call holds
 }
 
-// New returns a writer; Run does the work.
+// New returns a writer; Run appends the records.
 func New(store Store, target Target) *Writer {
 	w := &Writer{store: store, target: target, wake: make(chan struct{}, 1), healthy: true, now: boottime.Now}
-	w.lanes = make([]lane, max(target.Parts, 1))
-	for i := range w.lanes {
-		w.lanes[i].seq = target.FirstSeq
+	w.partitions = make([]partition, max(target.Parts, 1))
+	for i := range w.partitions {
+		w.partitions[i].seq = target.FirstSeq
 	}
 	return w
 }
 
-// Write hands in a record. kept is called once it is in the log, from the
-// writer's goroutine.
+// Write queues a record. kept is called from the goroutine of Run once the record is in the
+// log.
 func (w *Writer) Write(data []byte, kept func(Kept)) *Pending {
 	p := &Pending{data: data, kept: kept, writer: w}
 	w.mu.Lock()
@@ -145,22 +147,23 @@
 	return p
 }
 
-// AnswerTime is how long the newest answer took.
-func (w *Writer) AnswerTime() time.Duration { return time.Duration(w.last.Load()) }
+// AnswerTime returns the latency of the newest response.
+func (w *Writer) AnswerTime() time.Duration { return time.Duration(w.lastLatency.Load()) }
 
-// Healthy reports whether the last try of a call succeeded, and the present one is
-// not without an answer for too long.
+// Healthy reports whether the last try of a call succeeded and the present one has not been
+// without a response for too long.
 func (w *Writer) Healthy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.healthy
 }
 
-// Run writes until ctx ends or another writer takes over.
+// Run appends queued records until ctx ends or another writer takes over, which it reports as
+// a *ReplacedError.
 func (w *Writer) Run(ctx context.Context) error {
 	defer w.calls.Wait()
 	for {
-		batch := w.take()
+		batch := w.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -169,7 +172,7 @@
 			}
 			continue
 		}
-		kept, err := w.send(ctx, batch)
+		kept, err := w.sendBatch(ctx, batch)
 		if err != nil {
 			return err
 		}
@@ -179,19 +182,19 @@
 	}
 }
 
-// take removes the records of the next call from the queue.
-func (w *Writer) take() []*Pending {
+// nextBatch removes the records of the next call from the queue.
+func (w *Writer) nextBatch() []*Pending {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var batch []*Pending
 	size, n := 0, 0
 	for _, p := range w.queue {
-		if !p.gone {
+		if !p.withdrawn {
 			size += len(p.data) + recordOverhead
 			if size > w.target.CallBytes && len(batch) > 0 {
 				break
 			}
-			p.taken = true
+			p.sent = true
 			batch = append(batch, p)
 		}
 		n++
@@ -200,93 +203,94 @@
 	return batch
 }
 
-// send writes a batch to one partition after the other until one answers.
-func (w *Writer) send(ctx context.Context, batch []*Pending) (Kept, error) {
+// sendBatch tries one partition after the other until one acks the batch.
+func (w *Writer) sendBatch(ctx context.Context, batch []*Pending) (Kept, error) {
 	records := make([][]byte, 0, len(batch))
 	for _, p := range batch {
 		records = append(records, p.data)
 	}
 	w.batch++
-	timeout, pause := w.firstTimeout(), firstPause
+	timeout, backoff := w.firstTimeout(), minBackoff
 	for {
 		sentAt := w.now()
-		err := w.try(ctx, timeout, records)
-		w.note(err, sentAt)
+		err := w.tryActive(ctx, timeout, records)
+		w.noteResult(err, sentAt)
 		switch {
 		case err == nil:
 			return Kept{SentAt: sentAt}, nil
 		case platform.Fenced(err), platform.OutOfSequence(err):
 			return Kept{}, &ReplacedError{Cause: err}
 		case !platform.IsRefused(err):
-			timeout = min(2*timeout, longestTimeout)
+			timeout = min(2*timeout, maxTimeout)
 		}
-		w.part = (w.part + 1) % len(w.lanes)
-		if !boottime.Sleep(ctx, pause) {
+		w.active = (w.active + 1) % len(w.partitions)
+		if !boottime.Sleep(ctx, backoff) {
 			return Kept{}, ctx.Err()
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
 func (w *Writer) firstTimeout() time.Duration {
-	return min(max(timeoutFactor*w.usual, leastTimeout), longestTimeout)
+	return min(max(timeoutFactor*w.meanLatency, minTimeout), maxTimeout)
 }
 
-// try writes records to the partition in use, after settling an open call.
-func (w *Writer) try(ctx context.Context, timeout time.Duration, records [][]byte) error {
-	l := &w.lanes[w.part]
-	if l.open != nil {
-		same := l.batch == w.batch
-		if err := w.call(ctx, timeout, l, *l.open); err != nil || same {
+// tryActive appends records to the partition in use, after repeating its unresolved call if
+// there is one. If that call holds the same batch, repeating it is enough.
+func (w *Writer) tryActive(ctx context.Context, timeout time.Duration, records [][]byte) error {
+	p := &w.partitions[w.active]
+	if p.unresolved != nil {
+		same := p.batch == w.batch
+		if err := w.call(ctx, timeout, p, *p.unresolved); err != nil || same {
 			return err
 		}
 	}
-	return w.call(ctx, timeout, l, platform.Append{
-		Topic: w.target.Topic, Part: w.part, Producer: w.target.Producer,
-		Epoch: w.target.Epoch, Seq: l.seq, At: -1, Records: records,
+	return w.call(ctx, timeout, p, platform.Append{
+		Topic: w.target.Topic, Part: w.active, Producer: w.target.Producer,
+		Epoch: w.target.Epoch, Seq: p.seq, At: -1, Records: records,
 	})
 }
 
-func (w *Writer) call(ctx context.Context, timeout time.Duration, l *lane, a platform.Append) error {
-	err := w.hedged(ctx, timeout, a)
+func (w *Writer) call(ctx context.Context, timeout time.Duration, p *partition, a platform.Append) error {
+	err := w.appendHedged(ctx, timeout, a)
 	switch {
 	case err == nil:
-		l.seq = a.Seq + 1
-		l.open = nil
+		p.seq = a.Seq + 1
+		p.unresolved = nil
 	case !platform.IsRefused(err):
-		if l.open == nil {
-			l.batch = w.batch
+		if p.unresolved == nil {
+			p.batch = w.batch
 		}
-		l.open = &a
+		p.unresolved = &a
 	}
 	return err
 }
 
-func (w *Writer) note(err error, at time.Duration) {
+func (w *Writer) noteResult(err error, sentAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.healthy = err == nil
 	switch {
 	case !platform.IsRefused(err):
-		w.refused = 0
-	case w.refused == 0:
-		w.refused = at
+		w.refusedSince = 0
+	case w.refusedSince == 0:
+		w.refusedSince = sentAt
 	}
 }
 
-// quiet notes that the present try goes without an answer.
-func (w *Writer) quiet() {
+// markUnhealthy records that the present try has been without a response for too long.
+func (w *Writer) markUnhealthy() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.healthy = false
 }
 
-// RefusedFor returns for how long the log has answered with refusals alone.
+// RefusedFor returns for how long the log has answered with refusals only.
 func (w *Writer) RefusedFor() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.refused == 0 {
+	if w.refusedSince == 0 {
 		return 0
 	}
-	return w.now() - w.refused
+	return w.now() - w.refusedSince
 }
--- a/logwriter/logwriter_test.go
+++ b/logwriter/logwriter_test.go
@@ -15,15 +15,15 @@
 	"github.com/fireflyfold/fireflyfold/platform"
 )
 
-// fakeLog answers appends by a script and keeps what it carried out.
-type fakeLog struct {
-	script []error // of the calls in turn; nil for success, and after the end
-	doneIn []bool  // whether a call that fails is carried out all the same
-	calls  []platform.Append
-	kept   [][]string // by partition
+// scriptedStore answers appends by a script and stores what it executes.
+type scriptedStore struct {
+	script   []error // results of the calls in turn; nil for success, and after the end
+	executed []bool  // whether a call that fails is executed all the same
+	calls    []platform.Append
+	kept     [][]string // records by partition
 }
 
-func (f *fakeLog) Append(_ context.Context, _ time.Duration, a platform.Append) (platform.Appended, error) {
+func (f *scriptedStore) Append(_ context.Context, _ time.Duration, a platform.Append) (platform.Appended, error) {
 	i := len(f.calls)
 	f.calls = append(f.calls, a)
 	var err error
@@ -31,7 +31,7 @@
 		err = f.script[i]
 	}
 	repeat := slices.ContainsFunc(f.calls[:i], func(b platform.Append) bool { return b.Part == a.Part && b.Seq == a.Seq })
-	if (err == nil || f.doneIn[i]) && !repeat {
+	if (err == nil || f.executed[i]) && !repeat {
 		for len(f.kept) <= a.Part {
 			f.kept = append(f.kept, nil)
 		}
@@ -48,8 +48,8 @@
 	errFenced   = &platform.StatusError{Status: http.StatusConflict, Reason: "fenced"}
 )
 
-// write hands in records one after the other and waits for each.
-func write(t *testing.T, w *Writer, records ...string) {
+// writeAll writes records one after the other and waits for the ack of each.
+func writeAll(t *testing.T, w *Writer, records ...string) {
 	t.Helper()
 	for _, r := range records {
 		done := make(chan struct{})
@@ -58,7 +58,7 @@
 	}
 }
 
-func run(t *testing.T, f *fakeLog, parts int) *Writer {
+func startWriter(t *testing.T, f *scriptedStore, parts int) *Writer {
 	t.Helper()
 	w := New(f, Target{Topic: "t", Parts: parts, Producer: "p", Epoch: 1, FirstSeq: 1, CallBytes: 1 << 20})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,25 +68,25 @@
 	return w
 }
 
-// A call is carried out but its answer is lost. It is repeated under its own
-// number, so that the record stands in the log once.
-func TestLostAnswerIsRepeated(t *testing.T) {
-	f := &fakeLog{script: []error{nil, errNoAnswer}, doneIn: []bool{true, true}}
-	write(t, run(t, f, 1), "a", "b", "c")
+// A call is executed but its response is lost. It is repeated under the same sequence number,
+// so that the record is in the log once.
+func TestCallWithLostAnswerIsRepeatedUnderSameSequenceNumber(t *testing.T) {
+	f := &scriptedStore{script: []error{nil, errNoAnswer}, executed: []bool{true, true}}
+	writeAll(t, startWriter(t, f, 1), "a", "b", "c")
 	if diff := cmp.Diff([][]string{{"a", "b", "c"}}, f.kept); diff != "" {
 		t.Error(diff)
 	}
 	if f.calls[1].Seq != f.calls[2].Seq {
-		t.Errorf("repeated as number %d, not %d", f.calls[2].Seq, f.calls[1].Seq)
+		t.Errorf("repeated under sequence number %d, want %d", f.calls[2].Seq, f.calls[1].Seq)
 	}
 }
 
-// One partition stops answering. Its open call is settled before anything else
-// goes there again: without that, the partition would refuse the next call for
-// its number, and the writer would believe that another one took over.
-func TestOpenCallIsSettledFirst(t *testing.T) {
-	f := &fakeLog{script: []error{nil, errNoAnswer, nil, errNoAnswer, nil, nil}, doneIn: []bool{true, false, true, false, true, true}}
-	write(t, run(t, f, 2), "a", "b", "c", "d")
+// One partition stops answering. Its unresolved call is repeated before any other call to it:
+// otherwise the partition would refuse the next call for its sequence number, and the writer
+// would take that for the takeover by another one.
+func TestUnresolvedCallIsRepeatedBeforeNextCall(t *testing.T) {
+	f := &scriptedStore{script: []error{nil, errNoAnswer, nil, errNoAnswer, nil, nil}, executed: []bool{true, false, true, false, true, true}}
+	writeAll(t, startWriter(t, f, 2), "a", "b", "c", "d")
 	last := f.calls[len(f.calls)-1]
 	var numbers [][2]int64
 	for _, c := range f.calls {
@@ -101,26 +101,26 @@
 	}
 }
 
-// A record that was never part of a call can be taken back, and then the caller
-// may be told that nothing was kept; one that was sent cannot.
-func TestWithdraw(t *testing.T) {
-	w := New(&fakeLog{}, Target{CallBytes: 100})
+// A record that was never part of a call can be withdrawn, and the caller may then answer that
+// it is not in the log; one that was sent cannot.
+func TestOnlyUnsentRecordCanBeWithdrawn(t *testing.T) {
+	w := New(&scriptedStore{}, Target{CallBytes: 100})
 	first := w.Write([]byte("a"), func(Kept) {})
 	second := w.Write([]byte("b"), func(Kept) {})
 	if !second.Withdraw() {
-		t.Error("a record that was not sent could not be taken back")
+		t.Error("a record that was not sent could not be withdrawn")
 	}
-	if batch := w.take(); len(batch) != 1 {
-		t.Errorf("%d records are sent, want 1", len(batch))
+	if batch := w.nextBatch(); len(batch) != 1 {
+		t.Errorf("batch of %d records, want 1", len(batch))
 	}
 	if first.Withdraw() {
-		t.Error("a record that was sent was taken back")
+		t.Error("a record that was sent was withdrawn")
 	}
 }
 
-// A writer that another one has replaced stops, and refusals do not stop it.
-func TestReplacedWriterStops(t *testing.T) {
-	f := &fakeLog{script: []error{errBusy, errFenced}, doneIn: []bool{false, false}}
+// A writer goes on after a refusal, and stops when another writer has taken over.
+func TestFencedWriterStops(t *testing.T) {
+	f := &scriptedStore{script: []error{errBusy, errFenced}, executed: []bool{false, false}}
 	w := New(f, Target{Parts: 1, Producer: "p", Epoch: 1, FirstSeq: 1, CallBytes: 100})
 	w.Write([]byte("a"), func(Kept) { t.Error("kept") })
 	err := w.Run(context.Background())
@@ -129,29 +129,29 @@
 	}
 }
 
-// lossyLog carries calls out and loses the answers to the first sendings of each.
-type lossyLog struct {
-	lose int           // answers that are lost of each call
-	slow time.Duration // time of an answer
-	mu   sync.Mutex
-	sent map[int64]int // sendings by call
+// lossyStore executes calls and loses the responses to the first sendings of each.
+type lossyStore struct {
+	lostAnswers int           // how many responses to each call are lost
+	latency     time.Duration // of the responses that are not lost
+	mu          sync.Mutex
+	sent        map[int64]int // number of sendings by sequence number
 }
 
-func (f *lossyLog) Append(ctx context.Context, _ time.Duration, a platform.Append) (platform.Appended, error) {
+func (f *lossyStore) Append(ctx context.Context, _ time.Duration, a platform.Append) (platform.Appended, error) {
 	f.mu.Lock()
 	f.sent[a.Seq]++
 	n := f.sent[a.Seq]
 	f.mu.Unlock()
-	if n <= f.lose {
+	if n <= f.lostAnswers {
 		<-ctx.Done()
 		return platform.Appended{}, errNoAnswer
 	}
-	boottime.Sleep(ctx, f.slow)
+	boottime.Sleep(ctx, f.latency)
 	return platform.Appended{}, nil
 }
 
-// inVirtualTime runs a writer on a store in virtual time.
-func inVirtualTime(t *testing.T, f *lossyLog, do func(*testing.T, *Writer)) {
+// runWithFakeClock runs a writer on a store in a synctest bubble.
+func runWithFakeClock(t *testing.T, f *lossyStore, do func(*testing.T, *Writer)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := New(f, Target{Topic: "t", Parts: 1, Producer: "p", Epoch: 1, FirstSeq: 1, CallBytes: 1 << 20})
 		began := time.Now()
@@ -165,40 +165,38 @@
 	})
 }
 
-// A store carries calls out and loses the answer to the first two sendings of
-// each. Every submission behind it would take a whole timeout if the writer waited
-// for that answer, and longer with each loss if the time spent on a lost answer
-// counted as the store's usual time: repeats would come later and later.
+// A store executes calls and loses the responses to the first two sendings of each. Without
+// hedging, every submission would wait for a whole timeout. If the time spent on a lost
+// response counted as latency of the store, repeats would come later with each loss.
 func TestLostAnswersAreHedged(t *testing.T) {
-	f := &lossyLog{lose: 2, slow: 10 * time.Millisecond, sent: make(map[int64]int)}
-	inVirtualTime(t, f, func(t *testing.T, w *Writer) {
+	f := &lossyStore{lostAnswers: 2, latency: 10 * time.Millisecond, sent: make(map[int64]int)}
+	runWithFakeClock(t, f, func(t *testing.T, w *Writer) {
 		for _, r := range []string{"a", "b", "c", "d", "e", "f"} {
 			began := time.Now()
-			write(t, w, r)
-			if took := time.Since(began); took > leastTimeout/2 {
-				t.Errorf("record %s was kept after %v", r, took)
+			writeAll(t, w, r)
+			if took := time.Since(began); took > minTimeout/2 {
+				t.Errorf("record %s was acked after %v", r, took)
 			}
 		}
 	})
 	for seq, n := range f.sent {
-		if n != f.lose+1 {
-			t.Errorf("call %d was sent %d times, want %d", seq, n, f.lose+1)
+		if n != f.lostAnswers+1 {
+			t.Errorf("call %d was sent %d times, want %d", seq, n, f.lostAnswers+1)
 		}
 	}
 }
 
-// A store answers each call for certain, but slowly. The first sending of a call is
-// not given up for its repeats: its answer is the one that counts, and the next
-// call waits longer before it is repeated.
-func TestSlowStoreAnswersTheFirstSending(t *testing.T) {
-	f := &lossyLog{slow: leastTimeout / 2, sent: make(map[int64]int)}
-	inVirtualTime(t, f, func(t *testing.T, w *Writer) {
+// A store answers every call, but slowly. The first sending of a call is not cancelled by its
+// repeats: its response counts, and the next calls wait longer before they are repeated.
+func TestSlowStoreIsNotSentRepeats(t *testing.T) {
+	f := &lossyStore{latency: minTimeout / 2, sent: make(map[int64]int)}
+	runWithFakeClock(t, f, func(t *testing.T, w *Writer) {
 		began := time.Now()
-		write(t, w, "a")
-		if took := time.Since(began); took != f.slow {
-			t.Errorf("kept after %v by a store that answers after %v", took, f.slow)
+		writeAll(t, w, "a")
+		if took := time.Since(began); took != f.latency {
+			t.Errorf("acked after %v by a store with a latency of %v", took, f.latency)
 		}
-		write(t, w, "b", "c")
+		writeAll(t, w, "b", "c")
 	})
 	for _, seq := range []int64{2, 3} {
 		if f.sent[seq] != 1 {
@@ -207,22 +205,21 @@
 	}
 }
 
-// A store answers nothing any more. The host behind the writer must know it long
-// before the try is given up, or it goes on taking submissions that it cannot keep and
-// its callers stay with it.
-func TestQuietStoreIsNoticedBeforeTheTryEnds(t *testing.T) {
-	f := &lossyLog{lose: 100, sent: make(map[int64]int)}
-	inVirtualTime(t, f, func(t *testing.T, w *Writer) {
+// A store stops answering. The writer's host must notice long before the try times out:
+// otherwise it goes on taking submissions that it cannot append, and its callers stay with it.
+func TestUnresponsiveStoreIsUnhealthyBeforeTimeout(t *testing.T) {
+	f := &lossyStore{lostAnswers: 100, sent: make(map[int64]int)}
+	runWithFakeClock(t, f, func(t *testing.T, w *Writer) {
 		w.Write([]byte("a"), func(Kept) { t.Error("kept") })
-		time.Sleep(quietAfter - time.Millisecond)
+		time.Sleep(unresponsiveAfter - time.Millisecond)
 		synctest.Wait()
 		if !w.Healthy() {
-			t.Error("out of reach before the store has been quiet for long")
+			t.Error("unhealthy before the store was without a response for long")
 		}
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		if w.Healthy() {
-			t.Error("healthy although the store answers nothing")
+			t.Error("healthy although the store does not answer")
 		}
 	})
 }
