--- a/leader/answertimes.go
+++ b/leader/answertimes.go
@@ -5,57 +5,56 @@
 	"time"
 )
 
-// answerTimes works out how long an answer is waited for from how long answers take, as TCP
-// does for its retransmissions (RFC 6298).
+// timeoutEstimator derives the timeout of calls from the response times of earlier calls, as
+// TCP does for its retransmissions (RFC 6298). It is safe for concurrent use.
 //
-// The guard is against congestion collapse: with fixed bounds, calls over a link that is
-// full are given up and made again, on connections that have to be made anew, while the
-// first ones still wait in the link. It is safe for concurrent use.
-type answerTimes struct {
-	mu       sync.Mutex
-	mean     time.Duration // smoothed
-	spread   time.Duration // smoothed distance from the mean
-	unbroken int           // calls in a row without an answer
+// It guards against congestion collapse: with fixed timeouts, calls over a saturated link time
+// out and are repeated on new connections, while the first ones are still queued in the link.
+type timeoutEstimator struct {
+	mu                sync.Mutex
+	mean              time.Duration // smoothed response time
+	deviation         time.Duration // smoothed distance of response times from the mean
+	consecutiveMisses int           // calls that timed out since the newest response
 }
 
 const (
-	// meanMemory and spreadMemory are over how many answers mean and spread run. They
-	// are those of many calls at a time.
-	meanMemory   = 64
-	spreadMemory = 32
-	// spreadFactor is how many spreads an answer may be late.
-	spreadFactor = 4
-	// missesPerDoubling is how many calls in a row must get no answer for the wait to
-	// double: a few workers that are gone say nothing of the link.
+	// meanWindow and deviationWindow are over how many responses mean and deviation are
+	// smoothed. They are sized for many concurrent calls.
+	meanWindow      = 64
+	deviationWindow = 32
+	// deviationFactor is how many deviations above the mean a response may take.
+	deviationFactor = 4
+	// missesPerDoubling is how many consecutive calls must time out for the timeout to
+	// double: a few workers that are down say nothing about the link.
 	missesPerDoubling = 16
-	mostDoublings     = 3
+	maxDoublings      = 3
 )
 
-// answered notes how long an answer took.
-func (t *answerTimes) answered(took time.Duration) {
+// observe records the response time of a call.
+func (t *timeoutEstimator) observe(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unbroken = 0
+	t.consecutiveMisses = 0
 	if t.mean == 0 {
-		t.mean, t.spread = took, took/2
+		t.mean, t.deviation = took, took/2
 		return
 	}
-	t.spread += ((took - t.mean).Abs() - t.spread) / spreadMemory
-	t.mean += (took - t.mean) / meanMemory
+	t.deviation += ((took - t.mean).Abs() - t.deviation) / deviationWindow
+	t.mean += (took - t.mean) / meanWindow
 }
 
-// missed notes a call that got no answer in time.
-func (t *answerTimes) missed() {
+// missed records a call that timed out.
+func (t *timeoutEstimator) missed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unbroken++
+	t.consecutiveMisses++
 }
 
-// timeout is how long an answer is waited for, between least and most.
-func (t *answerTimes) timeout(least, most time.Duration) time.Duration {
+// timeout returns the timeout of the next call, between floor and ceiling.
+func (t *timeoutEstimator) timeout(floor, ceiling time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	wait := max(least, t.mean+spreadFactor*t.spread)
-	wait <<= min(t.unbroken/missesPerDoubling, mostDoublings)
-	return min(wait, most)
+	wait := max(floor, t.mean+deviationFactor*t.deviation)
+	wait <<= min(t.consecutiveMisses/missesPerDoubling, maxDoublings)
+	return min(wait, ceiling)
 }
--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -15,8 +15,8 @@
 	"github.com/fireflyfold/fireflyfold/region"
 )
 
-// dispatcher carries out the scheduler's commands. Calls run in goroutines of
-// their own; their answers come back as events.
+// dispatcher executes the scheduler's commands. Calls run in separate goroutines; their
+// results come back to the scheduler as events.
 type dispatcher struct {
 	leader *Leader
 	ctx    context.Context
@@ -25,30 +25,30 @@
 
 func (d *dispatcher) wait() { d.calls.Wait() }
 
-func (d *dispatcher) do(commands []region.Command) {
+func (d *dispatcher) execute(commands []region.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case region.Append:
 			d.append(c)
 		case region.Publish:
-			d.leader.board.Set(c)
+			d.leader.status.Apply(c)
 		case region.Explain:
 			d.explain(c)
 		case region.Deposed:
-			d.leader.deposed(&DeposedError{Why: "worker " + c.Worker + " has seen a higher fencing token"})
+			d.leader.stepDown(&LeadershipLostError{Why: "worker " + c.Worker + " has seen a higher fencing token"})
 		case region.Start:
-			d.later(c.After, func() { d.start(c) })
+			d.runAfter(c.After, func() { d.start(c) })
 		case region.Stop:
-			d.later(c.After, func() { d.stop(c) })
+			d.runAfter(c.After, func() { d.stop(c) })
 		case region.Hold:
-			d.later(c.After, func() { d.hold(c) })
+			d.runAfter(c.After, func() { d.probe(c) })
 		case region.Advise:
-			d.later(0, func() { d.advise(c) })
+			d.runAfter(0, func() { d.advise(c) })
 		}
 	}
 }
 
-func (d *dispatcher) later(after time.Duration, call func()) {
+func (d *dispatcher) runAfter(after time.Duration, call func()) {
 	d.calls.Go(func() {
 		if after > 0 && !boottime.Sleep(d.ctx, after) {
 			return
@@ -57,7 +57,8 @@
 	})
 }
 
-// append hands entries to the log; the last one's answer counts for all.
+// append writes entries to the log. They are acked in order, so the ack of the last one
+// covers them all.
 func (d *dispatcher) append(c region.Append) {
 	for i, e := range c.Entries {
 		data, err := proto.Marshal(e)
@@ -68,49 +69,50 @@
 		last := i == len(c.Entries)-1
 		d.leader.writer.Write(data, func(k logwriter.Kept) {
 			if last {
-				d.leader.loggedAt.Store(int64(boottime.Now()))
+				d.leader.lastAppendAt.Store(int64(boottime.Now()))
 				d.leader.push(d.ctx, region.Logged{Seq: seq, SentAt: k.SentAt})
 			}
 		})
 	}
 }
 
-func (d *dispatcher) orderTimeout() time.Duration {
-	return d.leader.answers.timeout(orderTimeout, mostTimeout)
+func (d *dispatcher) startStopTimeout() time.Duration {
+	return d.leader.callTimeout.timeout(minStartStopTimeout, maxCallTimeout)
 }
 
-// noteAnswer notes how a call to a worker ended that was sent at a time. A worker that was
-// allowed to wait may have answered sooner, which tells nothing.
-func (d *dispatcher) noteAnswer(sent, wait time.Duration, err error) {
+// observeCall updates the timeout estimate with the outcome of a call to a worker. sent is
+// when the call was sent, and wait how long the worker could defer its response: a response
+// within that time says nothing about latency and is ignored.
+func (d *dispatcher) observeCall(sent, wait time.Duration, err error) {
 	switch took := boottime.Now() - sent; {
 	case platform.IsNoAnswer(err) && d.ctx.Err() == nil:
-		d.leader.answers.missed()
+		d.leader.callTimeout.missed()
 	case err == nil && took > wait:
-		d.leader.answers.answered(took - wait)
+		d.leader.callTimeout.observe(took - wait)
 	}
 }
 
 func (d *dispatcher) start(c region.Start) {
 	sent := boottime.Now()
-	receipt, err := d.leader.cfg.Client.Start(d.ctx, d.orderTimeout(), c.Order)
-	d.noteAnswer(sent, 0, err)
+	receipt, err := d.leader.cfg.Client.Start(d.ctx, d.startStopTimeout(), c.Order)
+	d.observeCall(sent, 0, err)
 	d.leader.push(d.ctx, region.StartAnswered{Order: c.Order, SentAt: sent, Err: callError(receipt, err)})
 }
 
 func (d *dispatcher) stop(c region.Stop) {
 	sent := boottime.Now()
-	receipt, err := d.leader.cfg.Client.Stop(d.ctx, d.orderTimeout(), c.Order)
-	d.noteAnswer(sent, 0, err)
-	if failed := errors.CombineErrors(err, receipt.Err); failed != nil {
-		d.leader.cfg.Log.WithError(failed).WithFields(logrus.Fields{"job": c.Order.Task.Job, "worker": c.Order.Worker.ID, "run": c.Order.Run}).Info("stop failed")
+	receipt, err := d.leader.cfg.Client.Stop(d.ctx, d.startStopTimeout(), c.Order)
+	d.observeCall(sent, 0, err)
+	if stopErr := errors.CombineErrors(err, receipt.Err); stopErr != nil {
+		d.leader.cfg.Log.WithError(stopErr).WithFields(logrus.Fields{"job": c.Order.Task.Job, "worker": c.Order.Worker.ID, "run": c.Order.Run}).Info("stop failed")
 	}
 	d.leader.push(d.ctx, region.StopAnswered{Order: c.Order, SentAt: sent, Err: callError(receipt, err)})
 }
 
-func (d *dispatcher) hold(c region.Hold) {
+func (d *dispatcher) probe(c region.Hold) {
 	sent := boottime.Now()
-	hold, err := d.leader.cfg.Client.Hold(d.ctx, d.leader.answers.timeout(lookTimeout, mostTimeout), c.Order)
-	d.noteAnswer(sent, c.Order.Wait, err)
+	hold, err := d.leader.cfg.Client.Hold(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
+	d.observeCall(sent, c.Order.Wait, err)
 	d.leader.push(d.ctx, region.Held{Order: c.Order, SentAt: sent, Hold: hold, Err: callError(platform.Receipt{Err: err}, nil)})
 }
 
@@ -134,7 +136,7 @@
 	d.leader.cfg.Log.WithFields(fields).Info(c.What)
 }
 
-// callError sorts the end of a call to a worker.
+// callError classifies the outcome of a call to a worker.
 func callError(r platform.Receipt, err error) region.CallError {
 	if err == nil {
 		err = r.Err
@@ -162,7 +164,7 @@
 	case platform.IsNotSent(err):
 		return region.CallNotSent
 	case platform.StatusOf(err) != 0:
-		// Any other answer says that the order was not carried out.
+		// Any other status means that the request was not executed.
 		return region.CallRefused
 	}
 	return region.CallNoAnswer
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader runs the region's scheduler on the host that leads: it reads
-// the log, feeds package region with events, and carries out its commands.
+// Package leader runs the region's scheduler on the leading host: it reads the log, passes
+// events to package region and executes the commands that the scheduler returns.
 package leader
 
 import (
@@ -25,154 +25,160 @@
 
 // Topics of the region in the platform's log.
 const (
-	TopicIntake  = "intake"  // submissions and cancellations, by every host
-	TopicEntries = "entries" // assignments and ends, by the leader
+	TopicIntake  = "intake"  // submissions and cancellations, appended by every host
+	TopicEntries = "entries" // assignments and ends of runs, appended by the leader
 	producer     = "leader"
 
-	// IntakeParts and entryParts are how many partitions of each topic are
-	// used: the first, and others when it is down. A leader reads them all.
+	// IntakeParts and entryParts are how many partitions of each topic are used: the first
+	// one, and the others while it is down. A leader reads them all.
 	IntakeParts = 3
 	entryParts  = 3
 )
 
 const (
-	// eventRing bounds the events that wait for the scheduler: some seconds of
-	// the answers of a few hundred workers.
-	eventRing = 8192
-	// tickEvery is how often time passes for the scheduler.
-	tickEvery = 20 * time.Millisecond
-	// orderTimeout is how long the answer to a start or stop may take at least. Workers
-	// answer within milliseconds, and an order that is sent again does no harm: a lost
-	// answer is to cost little.
-	orderTimeout = 200 * time.Millisecond
-	// lookTimeout is the same for a look, beyond the time that the worker may wait.
-	lookTimeout = 300 * time.Millisecond
-	// mostTimeout bounds either.
-	mostTimeout = 2 * time.Second
-	// readTimeout bounds a read of the log beyond the time it may wait; while loading it is
-	// the least such bound, and mostReadTimeout the most.
-	readTimeout     = 1200 * time.Millisecond
-	mostReadTimeout = 6 * time.Second
-	// mostReadKB and leastReadKB bound how much one read of the log brings while loading, and
-	// readTime how long its answer may take the link: six partitions are read at a time, and
-	// answers to heartbeats and pings wait behind them.
-	mostReadKB  = 1024
-	leastReadKB = 16
-	readTime    = 30 * time.Millisecond
-	// heartbeatEvery is how often a leader that still loads appends a heartbeat. Others
-	// take a leader whose entries stand still for gone, however long loading takes.
-	heartbeatEvery = 100 * time.Millisecond
-	// fenceTimeout bounds the first try to fence a partition off; later ones have
-	// twice as long each, up to readTimeout.
-	fenceTimeout = 300 * time.Millisecond
-	// readWait is how long the log may wait for a record.
-	readWait = time.Second
-	// readRetry is the pause after a read that failed.
-	readRetry = 100 * time.Millisecond
-	// listEvery is the shortest time between two reads of the host list: all
+	// eventRingSize bounds the events queued for the scheduler: a few seconds of responses
+	// from a few hundred workers.
+	eventRingSize = 8192
+	// tickInterval is the time between two ticks of the scheduler.
+	tickInterval = 20 * time.Millisecond
+	// minStartStopTimeout is the minimum timeout of a start or stop call. Workers answer
+	// within milliseconds, and repeating the call is harmless, so a short timeout limits the
+	// cost of a lost response.
+	minStartStopTimeout = 200 * time.Millisecond
+	// minProbeTimeout is the same for a probe, in addition to the time that the worker may
+	// defer its response.
+	minProbeTimeout = 300 * time.Millisecond
+	// maxCallTimeout is the maximum of both.
+	maxCallTimeout = 2 * time.Second
+	// readTimeout bounds a read of the log, in addition to the time that the log may wait for
+	// a record. While loading it is the first such bound, and maxReadTimeout the largest.
+	readTimeout    = 1200 * time.Millisecond
+	maxReadTimeout = 6 * time.Second
+	// maxReadKB and minReadKB bound the size of one read of the log while loading, in KiB, and
+	// readTransferTime is how long its response may occupy the link: six partitions are read
+	// concurrently, and the responses to heartbeats and pings queue behind them.
+	maxReadKB        = 1024
+	minReadKB        = 16
+	readTransferTime = 30 * time.Millisecond
+	// heartbeatInterval is the pause between the heartbeats of a leader that is still loading.
+	// Other hosts take a leader without new entries for failed, however long loading takes.
+	heartbeatInterval = 100 * time.Millisecond
+	// firstFenceTimeout bounds the first attempt to fence off a partition; the timeout doubles
+	// with each further attempt, up to readTimeout.
+	firstFenceTimeout = 300 * time.Millisecond
+	// longPollWait is how long the log may wait for a record before it answers a read.
+	longPollWait = time.Second
+	// readRetryDelay is the pause after a read that failed.
+	readRetryDelay = 100 * time.Millisecond
+	// workerListInterval is the minimum time between two reads of the worker list: all
 	// workers write to it every second or two.
-	listEvery = 250 * time.Millisecond
-	// intakeGap is the pause after a read of the intake that brought records. The
-	// host that wrote them has told of them already, so that several may share a
-	// read: each is a call to the store, some 50 a second without the pause.
-	intakeGap = 150 * time.Millisecond
-	// intakeFresh is how old the newest read of the intake may be for an
-	// unknown job to be called unknown.
-	intakeFresh = 2500 * time.Millisecond
+	workerListInterval = 250 * time.Millisecond
+	// intakeReadDelay is the pause after a read of the intake that returned records, so that
+	// several records share a read. It delays no submission, because the host that appended a
+	// record has passed it on already (Kept). Without the pause, reads cost the store some 50
+	// calls a second.
+	intakeReadDelay = 150 * time.Millisecond
+	// maxIntakeAge is the maximum age of the newest read of the intake at which State reports
+	// with certainty that a job is unknown.
+	maxIntakeAge = 2500 * time.Millisecond
 )
 
-// Adviser asks the advice service from a host; "" is this one.
+// Adviser requests advice from the advice service through the host that a names; "" is this
+// host.
 type Adviser func(ctx context.Context, timeout time.Duration, a region.Advise) ([]model.Ticket, error)
 
-// Config is what a leader runs with.
+// Config configures a Leader.
 type Config struct {
 	Client    *platform.Client
-	Fence     int64
+	Fence     int64 // fencing token of this leadership
 	Options   region.Options
-	CallBytes int
-	LinkBps   int64                // bytes a second that this host's link carries; 0 if it is not known
-	Config    func() *model.Config // newest configuration; nil if there is none
-	Hosts     func() []string      // hosts that can be asked for advice
+	CallBytes int                  // maximum size of an append
+	LinkBps   int64                // capacity of this host's link in bytes per second; 0 if unknown
+	Config    func() *model.Config // returns the newest configuration, or nil if there is none
+	Hosts     func() []string      // returns the hosts that can be asked for advice
 	Advise    Adviser
-	LinkLoad  func() float64 // share of this host's link that is in use; nil if it is not known
+	LinkLoad  func() float64 // returns the share of this host's link that is in use; nil if unknown
 	Log       *logrus.Entry
 	Metrics   tally.Scope
 }
 
-// Leader is one leadership.
+// Leader runs the scheduler for one term of leadership of this host.
 type Leader struct {
-	cfg      Config
-	board    *Board
-	events   *ring.Ring[region.Event]
-	writer   *logwriter.Writer
-	loaded   atomic.Bool
-	intakeAt [IntakeParts]atomic.Int64 // when the newest answered read of each partition of the intake was sent
-	ledAt    atomic.Int64              // when loading was over
-	loggedAt atomic.Int64              // when the newest append was answered
-	answers  answerTimes               // of workers
-	ctx      context.Context           // ends with the leadership
-	deposed  context.CancelCauseFunc
+	cfg          Config
+	status       *StatusView
+	events       *ring.Ring[region.Event]
+	writer       *logwriter.Writer
+	loaded       atomic.Bool
+	intakeReadAt [IntakeParts]atomic.Int64 // when the newest answered read of each partition was sent
+	loadedAt     atomic.Int64              // when loading was completed
+	lastAppendAt atomic.Int64              // when the newest append was acked
+	callTimeout  timeoutEstimator          // of calls to workers
+	ctx          context.Context           // ends with the leadership
+	stepDown     context.CancelCauseFunc
 }
 
-// DeposedError reports that another host leads.
-type DeposedError struct{ Why string }
+// LeadershipLostError reports that another host has taken over the leadership.
+type LeadershipLostError struct{ Why string }
 
 // Error implements error.
-func (e *DeposedError) Error() string { return "deposed: " + e.Why }
+func (e *LeadershipLostError) Error() string { return "leadership lost: " + e.Why }
 
-// New returns a leader that has not begun.
+// New returns a leader; Run starts it.
 func New(cfg Config) *Leader {
-	l := &Leader{cfg: cfg, board: NewBoard(), events: ring.New[region.Event](eventRing)}
-	l.loggedAt.Store(int64(boottime.Now()))
-	l.ctx, l.deposed = context.WithCancelCause(context.Background())
+	l := &Leader{cfg: cfg, status: NewStatusView(), events: ring.New[region.Event](eventRingSize)}
+	l.lastAppendAt.Store(int64(boottime.Now()))
+	l.ctx, l.stepDown = context.WithCancelCause(context.Background())
 	return l
 }
 
-// State tells what is known of a job and the workspace that handed it in; sure
-// is false where the answer might be out of date.
-func (l *Leader) State(job string) (state region.State, workspace string, sure bool) {
+// State returns the state of a job and the workspace that submitted it. current is false if
+// the result may be out of date: while the leader loads, and for an unknown job if the intake
+// has not been read recently.
+func (l *Leader) State(job string) (state region.State, workspace string, current bool) {
 	if !l.loaded.Load() {
 		return region.StateUnknown, "", false
 	}
-	state, workspace = l.board.State(job)
+	state, workspace = l.status.State(job)
 	return state, workspace, state != region.StateUnknown || l.intakeFresh()
 }
 
-// intakeFresh reports whether every partition of the intake has been read
-// lately: only then is a job that is not known certainly not there.
+// intakeFresh reports whether every partition of the intake has been read within
+// maxIntakeAge. Only then is an unknown job certain not to exist.
 func (l *Leader) intakeFresh() bool {
-	for i := range l.intakeAt {
-		if boottime.Now()-time.Duration(l.intakeAt[i].Load()) >= intakeFresh {
+	for i := range l.intakeReadAt {
+		if boottime.Now()-time.Duration(l.intakeReadAt[i].Load()) >= maxIntakeAge {
 			return false
 		}
 	}
 	return true
 }
 
-// Loaded reports whether all that earlier leaders kept has been read.
+// Loaded reports whether the records of earlier leaders have been replayed.
 func (l *Leader) Loaded() bool { return l.loaded.Load() }
 
-// Kept takes over a record of the intake that another host has written, ahead of
-// the read that brings it as well; the first one counts. It spares submissions the
-// read, which takes as long as an append where the log is slow, and a second and
-// more where the log's watches are silent.
+// Kept passes an intake record that another host has appended to the scheduler, ahead of the
+// read that returns it as well; the scheduler ignores the second copy. This spares submissions
+// the read, which takes as long as an append where the log is slow, and a second or more where
+// the log does not wake waiting reads.
 func (l *Leader) Kept(ctx context.Context, r *record.Intake) {
 	if l.loaded.Load() {
 		l.push(ctx, region.IntakeRead{Records: []*record.Intake{r}})
 	}
 }
 
-// Pending counts the waiting jobs of a queue; sure is false while loading.
-func (l *Leader) Pending(queue string) (n int64, sure bool) {
-	return l.board.Pending(queue), l.loaded.Load()
+// Pending returns how many jobs of a queue wait for their first task to start. current is
+// false while the leader loads.
+func (l *Leader) Pending(queue string) (n int64, current bool) {
+	return l.status.Pending(queue), l.loaded.Load()
 }
 
-// Depose ends this leadership: a later claim has been read.
+// Depose ends this leadership, because a claim with a higher fencing token has been read.
 func (l *Leader) Depose(fence int64) {
-	l.deposed(&DeposedError{Why: "fencing token " + strconv.FormatInt(fence, 10) + " has been claimed"})
+	l.stepDown(&LeadershipLostError{Why: "fencing token " + strconv.FormatInt(fence, 10) + " has been claimed"})
 }
 
-// LogRefusedFor is how long the log has done nothing but refuse this host.
+// LogRefusedFor returns for how long the log has answered this leader's appends with refusals
+// only; 0 while the leader loads.
 func (l *Leader) LogRefusedFor() time.Duration {
 	if !l.loaded.Load() {
 		return 0
@@ -180,40 +186,41 @@
 	return l.writer.RefusedFor()
 }
 
-// LedFor is how long this host has led; 0 while it loads.
+// LedFor returns how long ago this leader completed loading; 0 while it loads.
 func (l *Leader) LedFor() time.Duration {
 	if !l.loaded.Load() {
 		return 0
 	}
-	return boottime.Now() - time.Duration(l.ledAt.Load())
+	return boottime.Now() - time.Duration(l.loadedAt.Load())
 }
 
-// loadGrace is how long loading may take beyond the time of one append before
-// the leader counts as cut off from the log.
-const loadGrace = 2500 * time.Millisecond
+// loadGracePeriod is how long the log may leave an append of a loading leader without an ack
+// before the contact to the log counts as lost.
+const loadGracePeriod = 2500 * time.Millisecond
 
-// LogContactAge is how long the log has not answered an append, beyond the time that
-// it takes anyway; while loading, beyond the grace for that. A leader that is
-// replaced because the log is slow for everyone leaves the region without one for as
-// long as its successor needs to load from the same log.
+// LogContactAge returns for how long the log has not acked an append, less a multiple of its
+// latency; while the leader loads, less the grace period for loading, and negative within it.
+// Replacing a leader because the log is slow for all hosts would leave the region without one
+// for as long as the new leader needs to load from the same log.
 func (l *Leader) LogContactAge() time.Duration { return l.contactAge(boottime.Now()) }
 
 func (l *Leader) contactAge(now time.Duration) time.Duration {
-	age := now - time.Duration(l.loggedAt.Load())
+	age := now - time.Duration(l.lastAppendAt.Load())
 	if !l.loaded.Load() {
-		return age - loadGrace
+		return age - loadGracePeriod
 	}
 	return max(0, age-slowLogFactor*l.writer.AnswerTime())
 }
 
-// Run leads until ctx ends or another host takes over.
+// Run fences off earlier leaders, replays the log and runs the scheduler, until parent ends
+// or another host takes over. It returns the cause.
 func (l *Leader) Run(parent context.Context) error {
-	ctx, cancel := l.ctx, l.deposed
+	ctx, cancel := l.ctx, l.stepDown
 	defer cancel(nil)
 	defer context.AfterFunc(parent, func() { cancel(context.Cause(parent)) })()
-	l.loggedAt.Store(int64(boottime.Now()))
+	l.lastAppendAt.Store(int64(boottime.Now()))
 	began := boottime.Now()
-	ends, err := l.fenceOff(ctx)
+	ends, err := l.fencePartitions(ctx)
 	if err != nil {
 		return err
 	}
@@ -222,7 +229,7 @@
 	defer cancel(nil)
 	group.Go(func() {
 		if err := l.writer.Run(ctx); err != nil && ctx.Err() == nil {
-			cancel(&DeposedError{Why: err.Error()})
+			cancel(&LeadershipLostError{Why: err.Error()})
 		}
 	})
 	group.Go(func() { l.heartbeat(ctx) })
@@ -233,8 +240,8 @@
 	}
 	l.cfg.Log.WithFields(logrus.Fields{"fence": l.cfg.Fence, "load_ms": (boottime.Now() - began).Milliseconds(),
 		"intake": next}).Info("leading")
-	l.loggedAt.Store(int64(boottime.Now()))
-	l.ledAt.Store(int64(boottime.Now()))
+	l.lastAppendAt.Store(int64(boottime.Now()))
+	l.loadedAt.Store(int64(boottime.Now()))
 	l.loaded.Store(true)
 	for part, from := range next {
 		group.Go(func() { l.readIntake(ctx, part, from) })
@@ -244,11 +251,11 @@
 	return context.Cause(ctx)
 }
 
-// heartbeat appends heartbeats until the scheduler does.
+// heartbeat appends heartbeats until loading is completed and the scheduler appends its own.
 //
-// The guard is against hosts that claim the lead from a leader that still loads: each
-// successor would have to load as well, and with a slow log or a narrow link nobody would
-// ever lead.
+// It guards against hosts that claim the leadership from a leader that is still loading: each
+// new leader would have to load as well, and with a slow log or a narrow link none would ever
+// complete it.
 func (l *Leader) heartbeat(ctx context.Context) {
 	for !l.loaded.Load() {
 		beat := &record.Entry{Fence: l.cfg.Fence, Kind: &record.Entry_AliveUnixMs{AliveUnixMs: time.Now().UnixMilli()}}
@@ -258,7 +265,7 @@
 		}
 		kept := make(chan struct{})
 		l.writer.Write(data, func(logwriter.Kept) {
-			l.loggedAt.Store(int64(boottime.Now()))
+			l.lastAppendAt.Store(int64(boottime.Now()))
 			close(kept)
 		})
 		select {
@@ -266,21 +273,21 @@
 			return
 		case <-kept:
 		}
-		if !boottime.Sleep(ctx, heartbeatEvery) {
+		if !boottime.Sleep(ctx, heartbeatInterval) {
 			return
 		}
 	}
 }
 
-// loop is the scheduler's goroutine.
+// loop runs the scheduler, in the only goroutine that uses it after loading.
 func (l *Leader) loop(ctx context.Context, sched *region.Scheduler) {
 	d := &dispatcher{leader: l, ctx: ctx}
-	d.do(sched.Step(boottime.Now(), region.Lead{Fence: l.cfg.Fence}))
-	ticker := time.NewTicker(tickEvery)
+	d.execute(sched.Step(boottime.Now(), region.Lead{Fence: l.cfg.Fence}))
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var (
 		config *model.Config
-		hosts  hostList
+		hosts  adviceHosts
 	)
 	for {
 		select {
@@ -288,42 +295,43 @@
 			d.wait()
 			return
 		case ev := <-l.events.Items():
-			d.do(sched.Step(boottime.Now(), ev))
-			l.drain(d, sched)
+			d.execute(sched.Step(boottime.Now(), ev))
+			l.applyQueuedEvents(d, sched)
 		case due := <-ticker.C:
 			if c := l.cfg.Config(); c != config {
 				config = c
-				d.do(sched.Step(boottime.Now(), region.ConfigRead{Config: c}))
+				d.execute(sched.Step(boottime.Now(), region.ConfigRead{Config: c}))
 			}
 			if names := l.cfg.Hosts(); hosts.changed(names) {
-				d.do(sched.Step(boottime.Now(), region.HostsSeen{Hosts: names}))
+				d.execute(sched.Step(boottime.Now(), region.HostsSeen{Hosts: names}))
 			}
 			tick := region.Tick{UnixMs: time.Now().UnixMilli(), Behind: time.Since(due)}
 			if l.cfg.LinkLoad != nil {
 				tick.LinkLoad = l.cfg.LinkLoad()
 			}
-			d.do(sched.Step(boottime.Now(), tick))
+			d.execute(sched.Step(boottime.Now(), tick))
 		}
-		d.do(sched.Step(boottime.Now(), region.Schedule{}))
+		d.execute(sched.Step(boottime.Now(), region.Schedule{}))
 	}
 }
 
-// drain applies the events at hand, so that one look for room serves them all.
-func (l *Leader) drain(d *dispatcher, sched *region.Scheduler) {
+// applyQueuedEvents passes all queued events to the scheduler, so that one scheduling pass
+// serves them all.
+func (l *Leader) applyQueuedEvents(d *dispatcher, sched *region.Scheduler) {
 	for {
 		select {
 		case ev := <-l.events.Items():
-			d.do(sched.Step(boottime.Now(), ev))
+			d.execute(sched.Step(boottime.Now(), ev))
 		default:
 			return
 		}
 	}
 }
 
-// hostList notices changes.
-type hostList struct{ names []string }
+// adviceHosts detects changes of the list of hosts that can be asked for advice.
+type adviceHosts struct{ names []string }
 
-func (h *hostList) changed(names []string) bool {
+func (h *adviceHosts) changed(names []string) bool {
 	same := len(names) == len(h.names)
 	for i := 0; same && i < len(names); i++ {
 		same = names[i] == h.names[i]
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -17,11 +17,10 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// A partition of the log was down for a while, so that a leader's entries went
-// to the next one and back again; one stands in both, as its answer was lost. A
-// successor that read one partition after the other would see an end before the
-// assignment it belongs to, and take a task for running that is done.
-func TestEntriesAreReadInOrder(t *testing.T) {
+// While a partition of the log was down, a leader's entries went to the next one; one entry
+// is in both, as its ack was lost. A new leader that read one partition after the other would
+// apply an end before the assignment that it belongs to, and treat a completed task as running.
+func TestEntriesOfSeveralPartitionsAreMergedInOrder(t *testing.T) {
 	store := fakeplatform.NewStore()
 	door := store.Door()
 	defer door.Close()
@@ -58,21 +57,21 @@
 	}
 }
 
-// slowStore answers appends after a while.
-type slowStore struct{ by time.Duration }
+// slowStore acks appends after a delay.
+type slowStore struct{ latency time.Duration }
 
 func (s slowStore) Append(context.Context, time.Duration, platform.Append) (platform.Appended, error) {
-	time.Sleep(s.by)
+	time.Sleep(s.latency)
 	return platform.Appended{}, nil
 }
 
-// The log is slow for everyone, 0.5 s and more for an append. The leader's answers come
-// as far apart, and it counted as cut off from the log: it handed over to a host for
-// which the log is as slow, and callers were without a leader while that one loaded. The
-// time that an append takes is no silence; what goes beyond twice of it is.
-func TestSlowLogIsNoLostLog(t *testing.T) {
+// With a log that was slow for all hosts, 0.5 s and more for an append, a leader counted as
+// cut off from the log. It handed over to a host for which the log was as slow, and callers
+// had no leader while that one loaded. Only the time beyond twice the latency of an append
+// counts as lost contact.
+func TestSlowLogDoesNotCountAsLostContact(t *testing.T) {
 	l := New(Config{})
-	l.writer = logwriter.New(slowStore{by: 20 * time.Millisecond}, logwriter.Target{Topic: TopicEntries, Parts: 1, FirstSeq: 1, CallBytes: 1 << 20})
+	l.writer = logwriter.New(slowStore{latency: 20 * time.Millisecond}, logwriter.Target{Topic: TopicEntries, Parts: 1, FirstSeq: 1, CallBytes: 1 << 20})
 	ctx, cancel := context.WithCancel(context.Background())
 	var run conc.WaitGroup
 	run.Go(func() { _ = l.writer.Run(ctx) }) // ends with ctx
@@ -83,23 +82,22 @@
 	run.Wait()
 	l.loaded.Store(true)
 	took := l.writer.AnswerTime()
-	l.loggedAt.Store(int64(time.Hour))
-	for _, c := range []struct{ since, want time.Duration }{
+	l.lastAppendAt.Store(int64(time.Hour))
+	for _, c := range []struct{ sinceAppend, want time.Duration }{
 		{took, 0},
 		{slowLogFactor * took, 0},
 		{slowLogFactor*took + time.Second, time.Second},
 	} {
-		if got := l.contactAge(time.Hour + c.since); got != c.want {
-			t.Errorf("%v after an answer that took %v the log counts as silent for %v, want %v", c.since, took, got, c.want)
+		if got := l.contactAge(time.Hour + c.sinceAppend); got != c.want {
+			t.Errorf("%v after an ack with a latency of %v: contact age %v, want %v", c.sinceAppend, took, got, c.want)
 		}
 	}
 }
 
-// A leader takes seconds to read what its predecessors kept, over a narrow link or from a
-// slow log. The others saw its entries stand still, took it for gone and claimed the lead,
-// one after the other, and each had to load anew: for half a minute nobody led. It appends
-// heartbeats until the scheduler does.
-func TestLeaderThatLoadsShowsLife(t *testing.T) {
+// Over a narrow link or from a slow log, a leader needs seconds to load. The other hosts saw no
+// new entries, took it for failed and claimed the leadership one after the other, and each had
+// to load again: there was no leader for half a minute. A loading leader appends heartbeats.
+func TestLoadingLeaderAppendsHeartbeats(t *testing.T) {
 	store := fakeplatform.NewStore()
 	door, watching := store.Door(), store.Door()
 	defer door.Close()
@@ -116,89 +114,89 @@
 	defer cancel()
 	run.Go(func() { _ = l.Run(ctx) }) // ends with ctx
 	w := NewWatcher(platform.NewClient(platform.Names{Store: watching.Address()}, 4, nil))
-	signs := 0
-	for range 100 { // on a busy machine signs may come late
-		if grown, _ := w.grown(ctx, heartbeatEvery); grown {
-			signs++
+	heartbeats := 0
+	for range 100 { // heartbeats may be late on a busy machine
+		if grown, _ := w.poll(ctx, heartbeatInterval); grown {
+			heartbeats++
 		}
-		if signs == 3 {
+		if heartbeats == 3 {
 			break
 		}
 	}
-	if signs < 3 {
-		t.Fatal("the entries stand still while the leader loads")
+	if heartbeats < 3 {
+		t.Fatal("fewer than three heartbeats while the leader loads")
 	}
 	if l.Loaded() {
-		t.Error("the leader has loaded without a read")
+		t.Error("the leader has loaded although no read was answered")
 	}
 }
 
-// A new leader took the log for lost, as it had not answered since the beginning of time:
-// its first act was to look for a successor.
-func TestNewLeaderHasNotLostTheLog(t *testing.T) {
+// A new leader measured the age of its log contact from time zero, so the contact counted as
+// lost at once, and it began by handing over to another host.
+func TestNewLeaderStartsWithLogContact(t *testing.T) {
 	if age := New(Config{}).LogContactAge(); age > time.Minute {
-		t.Errorf("the log counts as silent for %v", age)
+		t.Errorf("log contact age %v on a new leader", age)
 	}
 }
 
-// What is read while loading does not come in time over a narrow link: the read was made
-// again as it was, and failed again, for ever. Less is asked for, and given more time.
-func TestReadsThatComeTooLateShrink(t *testing.T) {
-	late := &platform.NoAnswerError{Cause: context.DeadlineExceeded}
-	if s := newReadSize(250e3); s.kb != leastReadKB {
-		t.Errorf("%d KiB are asked for first over 2 Mbit/s", s.kb)
+// Over a narrow link, a read while loading timed out and was repeated unchanged, without end.
+// Each timeout reduces the size of the read and extends its timeout.
+func TestReadSizeShrinksAfterTimeouts(t *testing.T) {
+	timedOut := &platform.NoAnswerError{Cause: context.DeadlineExceeded}
+	if s := newReadSize(250e3); s.kb != minReadKB {
+		t.Errorf("first read of %d KiB over 2 Mbit/s", s.kb)
 	}
 	s := newReadSize(0)
 	for range 10 {
-		s.ended(late)
+		s.adjust(timedOut)
 	}
-	if s.kb != leastReadKB || s.timeout != mostReadTimeout {
+	if s.kb != minReadKB || s.timeout != maxReadTimeout {
 		t.Errorf("%d KiB in %v after ten failures", s.kb, s.timeout)
 	}
-	s.ended(&platform.StatusError{Status: 503})
-	if s.kb != leastReadKB {
+	s.adjust(&platform.StatusError{Status: 503})
+	if s.kb != minReadKB {
 		t.Errorf("%d KiB after a refusal", s.kb)
 	}
 	for range 10 {
-		s.ended(nil)
+		s.adjust(nil)
 	}
-	if s.kb != mostReadKB {
+	if s.kb != maxReadKB {
 		t.Errorf("%d KiB after ten answers", s.kb)
 	}
 }
 
-// The link is full, so that every answer takes a second. Calls were given up after 0.2 s and
-// made again, which kept it full for ever. Answers are waited for as long as they take; a
-// few workers that are gone do not make the wait for the others longer.
-func TestWaitsFollowAnswers(t *testing.T) {
-	var times answerTimes
-	wait := func() time.Duration { return times.timeout(orderTimeout, mostTimeout) }
+// On a saturated link every response took a second. Calls timed out after 0.2 s and were
+// repeated, which kept the link saturated. The timeout follows the response times; a few failed
+// workers do not extend it for the others.
+func TestCallTimeoutFollowsResponseTimes(t *testing.T) {
+	var estimator timeoutEstimator
+	timeout := func() time.Duration { return estimator.timeout(minStartStopTimeout, maxCallTimeout) }
 	for range 100 {
-		times.answered(5 * time.Millisecond)
+		estimator.observe(5 * time.Millisecond)
 	}
-	if got := wait(); got != orderTimeout {
-		t.Errorf("%v where answers take 5 ms, want %v", got, orderTimeout)
+	if got := timeout(); got != minStartStopTimeout {
+		t.Errorf("%v with response times of 5 ms, want %v", got, minStartStopTimeout)
 	}
 	for range missesPerDoubling - 1 {
-		times.missed()
+		estimator.missed()
 	}
-	if got := wait(); got != orderTimeout {
-		t.Errorf("%v with a few workers gone, want %v", got, orderTimeout)
+	if got := timeout(); got != minStartStopTimeout {
+		t.Errorf("%v with a few workers down, want %v", got, minStartStopTimeout)
 	}
-	times.missed()
-	if got := wait(); got != 2*orderTimeout {
-		t.Errorf("%v with all answers late, want %v", got, 2*orderTimeout)
+	estimator.missed()
+	if got := timeout(); got != 2*minStartStopTimeout {
+		t.Errorf("%v with all calls timed out, want %v", got, 2*minStartStopTimeout)
 	}
 	for range 200 {
-		times.answered(time.Second)
+		estimator.observe(time.Second)
 	}
-	if got := wait(); got < time.Second || got > mostTimeout {
-		t.Errorf("%v where answers take a second", got)
+	if got := timeout(); got < time.Second || got > maxCallTimeout {
+		t.Errorf("%v with response times of 1 s", got)
 	}
 	for range 1000 {
-		times.answered(5 * time.Millisecond)
+		estimator.observe(5 * time.Millisecond)
 	}
-	if got := wait(); got > 2*orderTimeout {
-		t.Errorf("%v long after the link was full", got)
+	if got := timeout(); got > 2*minStartStopTimeout {
+		t.Errorf("%v long after the link was saturated", got)
 	}
 }
--- a/leader/load.go
+++ b/leader/load.go
@@ -17,14 +17,14 @@
 	"github.com/fireflyfold/fireflyfold/region"
 )
 
-// load reads all that earlier leaders kept, up to the ends of the entries' partitions
-// at which they were fenced off. It returns the offsets of the intake's partitions to go
-// on from.
+// load replays the intake, and the entries of earlier leaders up to ends, the offsets at which
+// they were fenced off in each partition. It returns the next offset of each partition of the
+// intake.
 func (l *Leader) load(ctx context.Context, sched *region.Scheduler, ends []int64) ([]int64, error) {
 	now := boottime.Now()
 	sched.Step(now, region.Tick{UnixMs: time.Now().UnixMilli()})
-	// The intake is read after the fence, so that every job of an entry is among
-	// it; jobs are applied first, as entries refer to them.
+	// The intake is read after fencing, so that it contains every job that an entry
+	// refers to; for the same reason it is applied first.
 	var (
 		group               conc.WaitGroup
 		intake              [][][]byte
@@ -32,25 +32,25 @@
 		entries             []*record.Entry
 		intakeErr, entryErr error
 	)
-	group.Go(func() { intake, next, intakeErr = l.readParts(ctx, TopicIntake, IntakeParts, nil) })
+	group.Go(func() { intake, next, intakeErr = l.readPartitions(ctx, TopicIntake, IntakeParts, nil) })
 	group.Go(func() { entries, entryErr = l.readEntries(ctx, ends) })
 	group.Wait()
 	if err := errors.Join(intakeErr, entryErr); err != nil {
 		return nil, err
 	}
 	for part, records := range intake {
-		l.publishOnly(sched.Step(now, l.decodeIntake(records)))
-		l.intakeAt[part].Store(int64(now))
+		l.applyPublished(sched.Step(now, l.decodeIntake(records)))
+		l.intakeReadAt[part].Store(int64(now))
 	}
-	l.publishOnly(sched.Step(now, region.EntriesRead{Entries: entries}))
+	l.applyPublished(sched.Step(now, region.EntriesRead{Entries: entries}))
 	return next, nil
 }
 
-// readParts reads the partitions of a topic at the same time, each up to its end
-// in ends or, without ends, as far as it goes. It returns the records and the next
-// offset of each. One after the other they would keep a region without a leader
-// for as many round trips more, which a slow store makes seconds.
-func (l *Leader) readParts(ctx context.Context, topic string, parts int, ends []int64) ([][][]byte, []int64, error) {
+// readPartitions reads the partitions of a topic concurrently, each up to its offset in ends
+// or, if ends is nil, up to its present end. It returns the records and the next offset of
+// each. One after the other they would leave the region without a leader for as many more
+// round trips, which takes seconds with a slow store.
+func (l *Leader) readPartitions(ctx context.Context, topic string, parts int, ends []int64) ([][][]byte, []int64, error) {
 	records, next, errs := make([][][]byte, parts), make([]int64, parts), make([]error, parts)
 	var group conc.WaitGroup
 	for part := range parts {
@@ -59,7 +59,7 @@
 			end = ends[part]
 		}
 		group.Go(func() {
-			next[part], errs[part] = l.readAll(ctx, topic, part, end, func(data []byte) {
+			next[part], errs[part] = l.readPartition(ctx, topic, part, end, func(data []byte) {
 				records[part] = append(records[part], data)
 			})
 		})
@@ -68,10 +68,10 @@
 	return records, next, errors.Join(errs...)
 }
 
-// readEntries reads what earlier leaders kept, in the order in which they wrote
-// it. An entry that stands in two partitions counts once.
+// readEntries returns the entries of earlier leaders in the order in which they were written.
+// An entry that was appended to two partitions is returned once.
 func (l *Leader) readEntries(ctx context.Context, ends []int64) ([]*record.Entry, error) {
-	parts, _, err := l.readParts(ctx, TopicEntries, len(ends), ends)
+	parts, _, err := l.readPartitions(ctx, TopicEntries, len(ends), ends)
 	if err != nil {
 		return nil, err
 	}
@@ -91,22 +91,23 @@
 	return slices.CompactFunc(all, func(a, b *record.Entry) bool { return a.Fence == b.Fence && a.Seq == b.Seq }), nil
 }
 
-// publishOnly takes over states while loading; nothing else may be done then.
-func (l *Leader) publishOnly(commands []region.Command) {
+// applyPublished applies published states while loading. All other commands are dropped, as
+// none may be executed before loading is completed.
+func (l *Leader) applyPublished(commands []region.Command) {
 	for _, c := range commands {
 		if p, ok := c.(region.Publish); ok {
-			l.board.Set(p)
+			l.status.Apply(p)
 		}
 	}
 }
 
-// fenceOff makes the log refuse appends of earlier leaders in every partition,
-// and returns the ends of what they wrote.
-func (l *Leader) fenceOff(ctx context.Context) ([]int64, error) {
+// fencePartitions makes the log refuse appends of earlier leaders in every partition, and
+// returns the end of each.
+func (l *Leader) fencePartitions(ctx context.Context) ([]int64, error) {
 	ends, errs := make([]int64, entryParts), make([]error, entryParts)
 	var group conc.WaitGroup
 	for part := range ends {
-		group.Go(func() { ends[part], errs[part] = l.fencePart(ctx, part) })
+		group.Go(func() { ends[part], errs[part] = l.fencePartition(ctx, part) })
 	}
 	group.Wait()
 	if err := errors.Join(errs...); err != nil {
@@ -118,26 +119,26 @@
 	return ends, nil
 }
 
-func (l *Leader) fencePart(ctx context.Context, part int) (int64, error) {
+func (l *Leader) fencePartition(ctx context.Context, part int) (int64, error) {
 	call := platform.Append{Topic: TopicEntries, Part: part, Producer: producer, Epoch: l.cfg.Fence, Seq: 0, At: -1}
-	for timeout := fenceTimeout; ; timeout = min(2*timeout, readTimeout) {
+	for timeout := firstFenceTimeout; ; timeout = min(2*timeout, readTimeout) {
 		got, err := l.cfg.Client.Append(ctx, timeout, call)
 		switch {
 		case err == nil:
 			return got.End, nil
 		case platform.Fenced(err):
-			return 0, &DeposedError{Why: "a later leader has fenced this one off"}
+			return 0, &LeadershipLostError{Why: "a later leader has fenced off this one"}
 		}
-		l.cfg.Log.WithError(err).WithField("part", part).Warn("fence not written yet")
-		if !boottime.Sleep(ctx, readRetry) {
+		l.cfg.Log.WithError(err).WithField("part", part).Warn("cannot fence off a partition of the log; retrying")
+		if !boottime.Sleep(ctx, readRetryDelay) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// readAll reads a partition up to its end, or to the end given if that is not
-// negative, and returns the next offset.
-func (l *Leader) readAll(ctx context.Context, topic string, part int, end int64, take func([]byte)) (int64, error) {
+// readPartition reads a partition up to its present end, or up to the given end if that is
+// not negative. It passes each record to handle and returns the next offset.
+func (l *Leader) readPartition(ctx context.Context, topic string, part int, end int64, handle func([]byte)) (int64, error) {
 	var from int64
 	tries := l.repeated("load_reads", "loading "+topic)
 	size := newReadSize(l.cfg.LinkBps)
@@ -147,15 +148,15 @@
 			from = expired.First
 			continue
 		}
-		size.ended(err)
+		size.adjust(err)
 		if !tries.Ended(err) {
-			if !boottime.Sleep(ctx, readRetry) {
+			if !boottime.Sleep(ctx, readRetryDelay) {
 				return 0, err
 			}
 			continue
 		}
 		for _, data := range b.Records {
-			take(data)
+			handle(data)
 		}
 		from += int64(len(b.Records))
 		stop := b.End
@@ -168,32 +169,34 @@
 	}
 }
 
-// readSize is how much a read asks for and how long its answer may take. Over a narrow
-// link that others use as well, a large answer never comes in time, however often it is
-// asked for: after each failure less is asked for, and given more time.
+// readSize is how much the next read requests and its timeout. Over a narrow, shared link a
+// large response never arrives in time, however often it is requested: after each failure the
+// size is reduced and the timeout extended.
 type readSize struct {
-	kb, most int
-	timeout  time.Duration
+	kb, maxKB int // KiB
+	timeout   time.Duration
 }
 
-// readStep is by how much a read's size changes after a failure or a success.
-const readStep = 4
+// readSizeFactor is the factor by which the size changes after a failure or a success.
+const readSizeFactor = 4
 
-// newReadSize returns the size of the first read over a link.
+// newReadSize returns the size of the first read over a link of linkBps bytes per second; 0
+// means unknown.
 func newReadSize(linkBps int64) readSize {
-	most := mostReadKB
+	maxKB := maxReadKB
 	if linkBps > 0 {
-		most = min(max(int(float64(linkBps)*readTime.Seconds())>>10, leastReadKB), mostReadKB)
+		maxKB = min(max(int(float64(linkBps)*readTransferTime.Seconds())>>10, minReadKB), maxReadKB)
 	}
-	return readSize{kb: most, most: most, timeout: readTimeout}
+	return readSize{kb: maxKB, maxKB: maxKB, timeout: readTimeout}
 }
 
-func (s *readSize) ended(err error) {
+// adjust adapts the size to the result of a read. A refusal says nothing about the link.
+func (s *readSize) adjust(err error) {
 	switch {
 	case err == nil:
-		s.kb = min(s.kb*readStep, s.most)
+		s.kb = min(s.kb*readSizeFactor, s.maxKB)
 	case !platform.IsRefused(err):
-		s.kb = max(s.kb/readStep, leastReadKB)
-		s.timeout = min(2*s.timeout, mostReadTimeout)
+		s.kb = max(s.kb/readSizeFactor, minReadKB)
+		s.timeout = min(2*s.timeout, maxReadTimeout)
 	}
 }
--- a/leader/read.go
+++ b/leader/read.go
@@ -15,14 +15,15 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// readIntake follows one partition of the submissions and cancellations of all hosts.
+// readIntake follows one partition of the intake, the submissions and cancellations of all
+// hosts.
 func (l *Leader) readIntake(ctx context.Context, part int, from int64) {
 	tries := l.repeated("intake_reads", "reading the intake")
 	for ctx.Err() == nil {
 		sent := boottime.Now()
-		b, err := l.cfg.Client.ReadLog(ctx, readTimeout, platform.Read{Topic: TopicIntake, Part: part, From: from, Wait: readWait})
+		b, err := l.cfg.Client.ReadLog(ctx, readTimeout, platform.Read{Topic: TopicIntake, Part: part, From: from, Wait: longPollWait})
 		if expired := (*platform.ExpiredError)(nil); asExpired(err, &expired) {
-			l.cfg.Log.WithError(err).Error("records of the intake expired unread")
+			l.cfg.Log.WithError(err).Error("intake records expired before they were read")
 			from = expired.First
 			continue
 		}
@@ -30,19 +31,19 @@
 			return
 		}
 		if !tries.Ended(err) {
-			boottime.Sleep(ctx, readRetry)
+			boottime.Sleep(ctx, readRetryDelay)
 			continue
 		}
 		from += int64(len(b.Records))
-		l.intakeAt[part].Store(int64(sent))
+		l.intakeReadAt[part].Store(int64(sent))
 		if ev := l.decodeIntake(b.Records); len(ev.Records) > 0 {
 			l.push(ctx, ev)
-			boottime.Sleep(ctx, intakeGap)
+			boottime.Sleep(ctx, intakeReadDelay)
 		}
 	}
 }
 
-// repeated tells of reads of the log that go on as long as this host leads.
+// repeated returns a reporter for reads of the log that are repeated while this host leads.
 func (l *Leader) repeated(name, what string) telemetry.Repeated {
 	return telemetry.Repeated{Name: name, What: what, Log: l.cfg.Log, Metrics: l.cfg.Metrics}
 }
@@ -52,7 +53,7 @@
 	for _, data := range records {
 		r := &record.Intake{}
 		if err := proto.Unmarshal(data, r); err != nil {
-			l.cfg.Log.WithError(err).Error("record of the intake cannot be read")
+			l.cfg.Log.WithError(err).Error("cannot decode an intake record")
 			continue
 		}
 		ev.Records = append(ev.Records, r)
@@ -60,57 +61,57 @@
 	return ev
 }
 
-// watchWorkers follows the host list.
+// watchWorkers follows the worker list, which log messages and metrics call the host list.
 func (l *Leader) watchWorkers(ctx context.Context) {
-	w := &workerWatch{leader: l, listed: make(map[string]bool)}
+	w := &workerListReader{leader: l, listed: make(map[string]bool)}
 	tries := l.repeated("host_list_reads", "reading the host list")
 	for ctx.Err() == nil {
-		err := w.follow(ctx)
+		err := w.readNext(ctx)
 		if ctx.Err() == nil && !tries.Ended(err) {
-			boottime.Sleep(ctx, readRetry)
+			boottime.Sleep(ctx, readRetryDelay)
 		}
 	}
 }
 
-// workerWatch is how far the host list has been read.
-type workerWatch struct {
-	leader *Leader
-	listed map[string]bool
-	next   int64
-	whole  bool // the list has been read whole, and is followed from next on
+// workerListReader passes the changes of the worker list to the scheduler.
+type workerListReader struct {
+	leader       *Leader
+	listed       map[string]bool
+	nextOffset   int64
+	snapshotRead bool // the whole list has been read; changes follow from nextOffset on
 }
 
-// follow reads on.
-func (w *workerWatch) follow(ctx context.Context) error {
-	if !w.whole {
-		return w.readWhole(ctx)
+// readNext reads the whole list the first time, and its changes after that.
+func (w *workerListReader) readNext(ctx context.Context) error {
+	if !w.snapshotRead {
+		return w.readSnapshot(ctx)
 	}
 	began := boottime.Now()
-	b, err := w.leader.cfg.Client.ReadLog(ctx, readTimeout, platform.Read{Topic: platform.TopicWorkers, From: w.next, Wait: readWait})
+	b, err := w.leader.cfg.Client.ReadLog(ctx, readTimeout, platform.Read{Topic: platform.TopicWorkers, From: w.nextOffset, Wait: longPollWait})
 	if expired := (*platform.ExpiredError)(nil); asExpired(err, &expired) {
-		// The list's history may be dropped at any time; what is newest stays.
-		w.whole = false
+		// Older records may expire at any time; the newest one of each key remains.
+		w.snapshotRead = false
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	w.next += int64(len(b.Records))
+	w.nextOffset += int64(len(b.Records))
 	for _, data := range b.Records {
 		key, value, err := platform.DecodeKeyed(data)
 		if err != nil {
-			w.leader.cfg.Log.WithError(err).Warn("record of the host list cannot be read")
+			w.leader.cfg.Log.WithError(err).Warn("cannot decode a record of the host list")
 			continue
 		}
-		w.entry(ctx, key, value)
+		w.apply(ctx, key, value)
 	}
-	if left := listEvery - (boottime.Now() - began); left > 0 {
+	if left := workerListInterval - (boottime.Now() - began); left > 0 {
 		boottime.Sleep(ctx, left)
 	}
 	return nil
 }
 
-func (w *workerWatch) readWhole(ctx context.Context) error {
+func (w *workerListReader) readSnapshot(ctx context.Context) error {
 	items, next, err := w.leader.cfg.Client.Newest(ctx, readTimeout, platform.TopicWorkers)
 	if err != nil {
 		return err
@@ -118,78 +119,79 @@
 	seen := make(map[string]bool, len(items))
 	for _, item := range items {
 		seen[item.Key] = true
-		w.entry(ctx, item.Key, item.Value)
+		w.apply(ctx, item.Key, item.Value)
 	}
 	for id := range w.listed {
 		if !seen[id] {
-			w.entry(ctx, id, nil)
+			w.apply(ctx, id, nil)
 		}
 	}
-	w.next, w.whole = next, true
+	w.nextOffset, w.snapshotRead = next, true
 	return nil
 }
 
-func (w *workerWatch) entry(ctx context.Context, id string, value []byte) {
+func (w *workerListReader) apply(ctx context.Context, id string, value []byte) {
 	if len(value) == 0 {
-		w.gone(ctx, id)
+		w.unlist(ctx, id)
 		return
 	}
 	e, err := platform.DecodeWorker(id, value)
 	if err != nil {
-		// An entry of another writer names no worker.
+		// An entry written by another program describes no worker.
 		w.leader.cfg.Metrics.Counter("host_list_entries_unreadable").Inc(1)
-		w.gone(ctx, id)
+		w.unlist(ctx, id)
 		return
 	}
 	w.listed[id] = true
 	w.leader.push(ctx, region.WorkerListed{Entry: e})
 }
 
-func (w *workerWatch) gone(ctx context.Context, id string) {
+func (w *workerListReader) unlist(ctx context.Context, id string) {
 	if w.listed[id] {
 		delete(w.listed, id)
 		w.leader.push(ctx, region.WorkerUnlisted{ID: id})
 	}
 }
 
-// Watcher looks whether some host leads and reaches the log.
+// Watcher checks whether some host leads and whether the log can be read.
 type Watcher struct {
 	client *platform.Client
-	mu     sync.Mutex // one look at a time
+	mu     sync.Mutex // one poll at a time
 	ends   [entryParts]int64
 }
 
-// NewWatcher returns a watcher.
+// NewWatcher returns a watcher that reads the log through client.
 func NewWatcher(client *platform.Client) *Watcher { return &Watcher{client: client} }
 
-// slowLogFactor times as long as the log takes for a read is added to the time for
-// which entries must stand still: an append takes as long, and the one that shows
-// the leader may wait behind another.
+// slowLogFactor times the latency of the log is added to the time without new entries after
+// which the leader counts as failed: an append takes as long as a read, and the one that shows
+// that the leader is alive may be queued behind another.
 const slowLogFactor = 2
 
-// Silent reports whether the region's entries stand still for a while, and longer
-// where the log is slow. Every partition has to be read for it, as a leader may
+// Silent reports whether no entries are appended for the time wait, and longer where the log
+// is slow; it is false if the log cannot be read. Every partition is read, as a leader may
 // write to any.
 func (w *Watcher) Silent(ctx context.Context, wait time.Duration) bool {
 	began := boottime.Now()
-	if _, ok := w.grown(ctx, 0); !ok { // find the ends first
+	if _, ok := w.poll(ctx, 0); !ok { // the first poll finds the ends
 		return false
 	}
 	took := boottime.Now() - began
-	grown, ok := w.grown(ctx, wait+slowLogFactor*took)
+	grown, ok := w.poll(ctx, wait+slowLogFactor*took)
 	return ok && !grown
 }
 
-// Reachable reports whether every partition of the entries can be read. A host
-// that takes over must fence them all off and read them all: with one of them
-// down it would be stuck, and what the present leader knows would be lost.
+// Reachable reports whether every partition of the entries can be read. A host that takes over
+// must fence off and read them all: with one of them down it could not complete loading, and
+// the state that only the present leader has would be lost.
 func (w *Watcher) Reachable(ctx context.Context) bool {
-	_, ok := w.grown(ctx, 0)
+	_, ok := w.poll(ctx, 0)
 	return ok
 }
 
-// grown reads all partitions at once; ok is false if one cannot be read.
-func (w *Watcher) grown(ctx context.Context, wait time.Duration) (grown, ok bool) {
+// poll reads all partitions concurrently and waits up to wait for new entries. newEntries
+// reports whether there are any; ok is false if a partition cannot be read.
+func (w *Watcher) poll(ctx context.Context, wait time.Duration) (newEntries, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var (
@@ -217,7 +219,7 @@
 		if errs[part] != nil {
 			return false, false
 		}
-		grown = grown || more[part]
+		newEntries = newEntries || more[part]
 	}
-	return grown, true
+	return newEntries, true
 }
