--- a/leader/leader.go
+++ b/leader/leader.go
@@ -209,7 +209,7 @@
 	if !l.loaded.Load() {
 		return age - loadGracePeriod
 	}
-	return max(0, age-slowLogFactor*l.writer.AnswerTime())
+	return max(0, age-slowLogFactor*l.writer.LastLatency())
 }
 
 // Run fences off earlier leaders, replays the log and runs the scheduler, until parent ends
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -81,7 +81,7 @@
 	cancel()
 	run.Wait()
 	l.loaded.Store(true)
-	took := l.writer.AnswerTime()
+	took := l.writer.LastLatency()
 	l.lastAppendAt.Store(int64(time.Hour))
 	for _, c := range []struct{ sinceAppend, want time.Duration }{
 		{took, 0},
--- a/logwriter/hedge.go
+++ b/logwriter/hedge.go
@@ -49,7 +49,7 @@
 	sent, pending, wait := 1, 1, w.hedgeDelay()
 	next := time.NewTimer(wait)
 	defer next.Stop()
-	unresponsive := time.NewTimer(max(unresponsiveAfter, unresponsiveFactor*w.AnswerTime()))
+	unresponsive := time.NewTimer(max(unresponsiveAfter, unresponsiveFactor*w.LastLatency()))
 	defer unresponsive.Stop()
 	var unknownOutcome error
 	for {
@@ -90,7 +90,7 @@
 
 // hedgeDelay returns the time without a response after which a call is sent again.
 func (w *Writer) hedgeDelay() time.Duration {
-	return max(hedgeFactor*max(w.meanLatency, w.AnswerTime()), minHedgeDelay)
+	return max(hedgeFactor*max(w.meanLatency, w.LastLatency()), minHedgeDelay)
 }
 
 // observeLatency records the time from one sending to its response. The delays before that
--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -147,8 +147,8 @@
 	return p
 }
 
-// AnswerTime returns the latency of the newest response.
-func (w *Writer) AnswerTime() time.Duration { return time.Duration(w.lastLatency.Load()) }
+// LastLatency returns the latency of the newest response.
+func (w *Writer) LastLatency() time.Duration { return time.Duration(w.lastLatency.Load()) }
 
 // Healthy reports whether the last try of a call succeeded and the present one has not been
 // without a response for too long.
