--- a/host/front.go
+++ b/host/front.go
@@ -236,7 +236,7 @@
 		return notKept
 	}
 	done := make(chan struct{})
-	p := c.host.intake.Write(data, func(logwriter.Kept) { close(done) })
+	p := c.host.intake.Write(data, func(logwriter.Ack) { close(done) })
 	wait := logPatience
 	if !c.host.intake.Healthy() {
 		wait = 0
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -214,7 +214,7 @@
 		if m == first {
 			continue
 		}
-		m.intake.Write([]byte{}, func(logwriter.Kept) {})
+		m.intake.Write([]byte{}, func(logwriter.Ack) {})
 		f.until("its append runs out of time", func() bool { return !m.intake.Healthy() })
 	}
 	first.stop()
--- a/host/keep.go
+++ b/host/keep.go
@@ -19,7 +19,7 @@
 		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
 	}
 	done := make(chan struct{})
-	p := h.intake.Write(req.Msg.Record, func(logwriter.Kept) { close(done) })
+	p := h.intake.Write(req.Msg.Record, func(logwriter.Ack) { close(done) })
 	select {
 	case <-done:
 		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_KEPT), nil
--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -67,10 +67,10 @@
 		}
 		seq := c.Seq - int64(len(c.Entries)-1-i)
 		last := i == len(c.Entries)-1
-		d.leader.writer.Write(data, func(k logwriter.Kept) {
+		d.leader.writer.Write(data, func(ack logwriter.Ack) {
 			if last {
 				d.leader.lastAppendAt.Store(int64(boottime.Now()))
-				d.leader.push(d.ctx, region.Logged{Seq: seq, SentAt: k.SentAt})
+				d.leader.push(d.ctx, region.Logged{Seq: seq, SentAt: ack.SentAt})
 			}
 		})
 	}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -263,15 +263,15 @@
 		if err != nil {
 			panic(err) // entries are built by this program and always encode
 		}
-		kept := make(chan struct{})
-		l.writer.Write(data, func(logwriter.Kept) {
+		acked := make(chan struct{})
+		l.writer.Write(data, func(logwriter.Ack) {
 			l.lastAppendAt.Store(int64(boottime.Now()))
-			close(kept)
+			close(acked)
 		})
 		select {
 		case <-ctx.Done():
 			return
-		case <-kept:
+		case <-acked:
 		}
 		if !boottime.Sleep(ctx, heartbeatInterval) {
 			return
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -76,7 +76,7 @@
 	var run conc.WaitGroup
 	run.Go(func() { _ = l.writer.Run(ctx) }) // ends with ctx
 	kept := make(chan struct{})
-	l.writer.Write([]byte("x"), func(logwriter.Kept) { close(kept) })
+	l.writer.Write([]byte("x"), func(logwriter.Ack) { close(kept) })
 	<-kept
 	cancel()
 	run.Wait()
--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -67,15 +67,15 @@
 // Unwrap returns the refusal by the log.
 func (e *ReplacedError) Unwrap() error { return e.Cause }
 
-// Kept is the ack of a record: it is in the log.
-type Kept struct {
+// Ack reports that a record is in the log.
+type Ack struct {
 	SentAt time.Duration // when the acked try began (package boottime)
 }
 
 // Pending is a record that was passed to Write.
 type Pending struct {
 	data      []byte
-	kept      func(Kept)
+	onAck     func(Ack)
 	writer    *Writer
 	sent      bool // part of a call that was sent: the record may be in the log
 	withdrawn bool // skipped by nextBatch
@@ -133,10 +133,10 @@
 	return w
 }
 
-// Write queues a record. kept is called from the goroutine of Run once the record is in the
+// Write queues a record. onAck is called from the goroutine of Run once the record is in the
 // log.
-func (w *Writer) Write(data []byte, kept func(Kept)) *Pending {
-	p := &Pending{data: data, kept: kept, writer: w}
+func (w *Writer) Write(data []byte, onAck func(Ack)) *Pending {
+	p := &Pending{data: data, onAck: onAck, writer: w}
 	w.mu.Lock()
 	w.queue = append(w.queue, p)
 	w.mu.Unlock()
@@ -172,12 +172,12 @@
 			}
 			continue
 		}
-		kept, err := w.sendBatch(ctx, batch)
+		ack, err := w.sendBatch(ctx, batch)
 		if err != nil {
 			return err
 		}
 		for _, p := range batch {
-			p.kept(kept)
+			p.onAck(ack)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 }
 
 // sendBatch tries one partition after the other until one acks the batch.
-func (w *Writer) sendBatch(ctx context.Context, batch []*Pending) (Kept, error) {
+func (w *Writer) sendBatch(ctx context.Context, batch []*Pending) (Ack, error) {
 	records := make([][]byte, 0, len(batch))
 	for _, p := range batch {
 		records = append(records, p.data)
@@ -217,15 +217,15 @@
 		w.noteResult(err, sentAt)
 		switch {
 		case err == nil:
-			return Kept{SentAt: sentAt}, nil
+			return Ack{SentAt: sentAt}, nil
 		case platform.Fenced(err), platform.OutOfSequence(err):
-			return Kept{}, &ReplacedError{Cause: err}
+			return Ack{}, &ReplacedError{Cause: err}
 		case !platform.IsRefused(err):
 			timeout = min(2*timeout, maxTimeout)
 		}
 		w.active = (w.active + 1) % len(w.partitions)
 		if !boottime.Sleep(ctx, backoff) {
-			return Kept{}, ctx.Err()
+			return Ack{}, ctx.Err()
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
--- a/logwriter/logwriter_test.go
+++ b/logwriter/logwriter_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	for _, r := range records {
 		done := make(chan struct{})
-		w.Write([]byte(r), func(Kept) { close(done) })
+		w.Write([]byte(r), func(Ack) { close(done) })
 		<-done
 	}
 }
@@ -105,8 +105,8 @@
 // it is not in the log; one that was sent cannot.
 func TestOnlyUnsentRecordCanBeWithdrawn(t *testing.T) {
 	w := New(&scriptedStore{}, Target{CallBytes: 100})
-	first := w.Write([]byte("a"), func(Kept) {})
-	second := w.Write([]byte("b"), func(Kept) {})
+	first := w.Write([]byte("a"), func(Ack) {})
+	second := w.Write([]byte("b"), func(Ack) {})
 	if !second.Withdraw() {
 		t.Error("a record that was not sent could not be withdrawn")
 	}
@@ -122,7 +122,7 @@
 func TestFencedWriterStops(t *testing.T) {
 	f := &scriptedStore{script: []error{errBusy, errFenced}, executed: []bool{false, false}}
 	w := New(f, Target{Parts: 1, Producer: "p", Epoch: 1, FirstSeq: 1, CallBytes: 100})
-	w.Write([]byte("a"), func(Kept) { t.Error("kept") })
+	w.Write([]byte("a"), func(Ack) { t.Error("kept") })
 	err := w.Run(context.Background())
 	if _, replaced := err.(*ReplacedError); !replaced {
 		t.Errorf("ended with %v", err)
@@ -210,7 +210,7 @@
 func TestUnresponsiveStoreIsUnhealthyBeforeTimeout(t *testing.T) {
 	f := &lossyStore{lostAnswers: 100, sent: make(map[int64]int)}
 	runWithFakeClock(t, f, func(t *testing.T, w *Writer) {
-		w.Write([]byte("a"), func(Kept) { t.Error("kept") })
+		w.Write([]byte("a"), func(Ack) { t.Error("kept") })
 		time.Sleep(unresponsiveAfter - time.Millisecond)
 		synctest.Wait()
 		if !w.Healthy() {
