--- a/host/keep.go
+++ b/host/keep.go
@@ -96,7 +96,7 @@
 	if err := proto.Unmarshal(req.Msg.Record, r); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	l.Kept(ctx, r)
+	l.HandleIntake(ctx, r)
 	return connect.NewResponse(&hostrpc.KeptResponse{}), nil
 }
 
@@ -108,7 +108,7 @@
 // wait for it. A host that ends tells nobody any more.
 func (h *Host) tellLeader(r *record.Intake, data []byte) {
 	if l := h.election.leading(); l != nil {
-		l.Kept(h.work, r)
+		l.HandleIntake(h.work, r)
 		return
 	}
 	claim, _ := h.election.current()
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -75,7 +75,7 @@
 	workerListInterval = 250 * time.Millisecond
 	// intakeReadDelay is the pause after a read of the intake that returned records, so that
 	// several records share a read. It delays no submission, because the host that appended a
-	// record has passed it on already (Kept). Without the pause, reads cost the store some 50
+	// record has passed it on already (HandleIntake). Without the pause, reads cost the store some 50
 	// calls a second.
 	intakeReadDelay = 150 * time.Millisecond
 	// maxIntakeAge is the maximum age of the newest read of the intake at which State reports
@@ -156,11 +156,11 @@
 // Loaded reports whether the records of earlier leaders have been replayed.
 func (l *Leader) Loaded() bool { return l.loaded.Load() }
 
-// Kept passes an intake record that another host has appended to the scheduler, ahead of the
+// HandleIntake passes an intake record that another host has appended to the scheduler, ahead of the
 // read that returns it as well; the scheduler ignores the second copy. This spares submissions
 // the read, which takes as long as an append where the log is slow, and a second or more where
 // the log does not wake waiting reads.
-func (l *Leader) Kept(ctx context.Context, r *record.Intake) {
+func (l *Leader) HandleIntake(ctx context.Context, r *record.Intake) {
 	if l.loaded.Load() {
 		l.push(ctx, region.IntakeRead{Records: []*record.Intake{r}})
 	}
