--- a/host/election.go
+++ b/host/election.go
@@ -165,7 +165,7 @@
 			e.claimTimes = append(e.claimTimes, boottime.Now())
 		}
 		if e.lead != nil && e.leadFence < e.fence {
-			e.lead.Depose(e.fence)
+			e.lead.StepDown(e.fence)
 		}
 		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leader claimed")
 		select {
--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -35,7 +35,7 @@
 		case region.Explain:
 			d.explain(c)
 		case region.Deposed:
-			d.leader.stepDown(&LeadershipLostError{Why: "worker " + c.Worker + " has seen a higher fencing token"})
+			d.leader.cancel(&LeadershipLostError{Why: "worker " + c.Worker + " has seen a higher fencing token"})
 		case region.Start:
 			d.runAfter(c.After, func() { d.start(c) })
 		case region.Stop:
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -114,7 +114,7 @@
 	lastAppendAt atomic.Int64              // when the newest append was acked
 	callTimeout  timeoutEstimator          // of calls to workers
 	ctx          context.Context           // ends with the leadership
-	stepDown     context.CancelCauseFunc
+	cancel       context.CancelCauseFunc
 }
 
 // LeadershipLostError reports that another host has taken over the leadership.
@@ -127,7 +127,7 @@
 func New(cfg Config) *Leader {
 	l := &Leader{cfg: cfg, status: NewStatusView(), events: ring.New[region.Event](eventRingSize)}
 	l.lastAppendAt.Store(int64(boottime.Now()))
-	l.ctx, l.stepDown = context.WithCancelCause(context.Background())
+	l.ctx, l.cancel = context.WithCancelCause(context.Background())
 	return l
 }
 
@@ -172,9 +172,9 @@
 	return l.status.Pending(queue), l.loaded.Load()
 }
 
-// Depose ends this leadership, because a claim with a higher fencing token has been read.
-func (l *Leader) Depose(fence int64) {
-	l.stepDown(&LeadershipLostError{Why: "fencing token " + strconv.FormatInt(fence, 10) + " has been claimed"})
+// StepDown ends this leadership, because a claim with a higher fencing token has been read.
+func (l *Leader) StepDown(fence int64) {
+	l.cancel(&LeadershipLostError{Why: "fencing token " + strconv.FormatInt(fence, 10) + " has been claimed"})
 }
 
 // LogRefusedFor returns for how long the log has answered this leader's appends with refusals
@@ -215,7 +215,7 @@
 // Run fences off earlier leaders, replays the log and runs the scheduler, until parent ends
 // or another host takes over. It returns the cause.
 func (l *Leader) Run(parent context.Context) error {
-	ctx, cancel := l.ctx, l.stepDown
+	ctx, cancel := l.ctx, l.cancel
 	defer cancel(nil)
 	defer context.AfterFunc(parent, func() { cancel(context.Cause(parent)) })()
 	l.lastAppendAt.Store(int64(boottime.Now()))
