--- a/host/election.go
+++ b/host/election.go
@@ -293,9 +293,9 @@
 	case gone:
 		return true
 	case closed:
-		return e.watcher.Silent(ctx, closedSilence)
+		return e.watcher.NoNewEntries(ctx, closedSilence)
 	}
-	return e.watcher.Silent(ctx, e.patience(boottime.Now()))
+	return e.watcher.NoNewEntries(ctx, e.patience(boottime.Now()))
 }
 
 // patience is how long the entries must stand still before this host takes over from a
--- a/leader/read.go
+++ b/leader/read.go
@@ -168,10 +168,10 @@
 // that the leader is alive may be queued behind another.
 const slowLogFactor = 2
 
-// Silent reports whether no entries are appended for the time wait, and longer where the log
+// NoNewEntries reports whether no entries are appended for the time wait, and longer where the log
 // is slow; it is false if the log cannot be read. Every partition is read, as a leader may
 // write to any.
-func (w *Watcher) Silent(ctx context.Context, wait time.Duration) bool {
+func (w *Watcher) NoNewEntries(ctx context.Context, wait time.Duration) bool {
 	began := boottime.Now()
 	if _, ok := w.poll(ctx, 0); !ok { // the first poll finds the ends
 		return false
