--- a/host/peers.go
+++ b/host/peers.go
@@ -170,7 +170,7 @@
 	// That this host's own last append got no answer tells nothing: the log may be
 	// slow for everyone, and then every helper would refuse and nobody lead for
 	// seconds. The reads here and the claim itself tell whether it is reached.
-	if h.config.LogAge() > logContactLife || !h.election.watcher.Reachable(ctx) {
+	if h.config.LogAge() > logContactLife || !h.election.watcher.LogReadable(ctx) {
 		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
 	}
 	h.log.WithField("fence", req.Msg.Fence).Info("asked to take over")
--- a/leader/read.go
+++ b/leader/read.go
@@ -181,10 +181,10 @@
 	return ok && !grown
 }
 
-// Reachable reports whether every partition of the entries can be read. A host that takes over
+// LogReadable reports whether every partition of the entries can be read. A host that takes over
 // must fence off and read them all: with one of them down it could not complete loading, and
 // the state that only the present leader has would be lost.
-func (w *Watcher) Reachable(ctx context.Context) bool {
+func (w *Watcher) LogReadable(ctx context.Context) bool {
 	_, ok := w.poll(ctx, 0)
 	return ok
 }
