--- a/host/election.go
+++ b/host/election.go
@@ -117,7 +117,7 @@
 
 // watchClaims follows the claims.
 func (e *election) watchClaims(ctx context.Context) {
-	tries := telemetry.Repeated{Name: "claim_reads", What: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
+	tries := telemetry.RetryReporter{Metric: "claim_reads", Operation: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
 	for ctx.Err() == nil {
 		e.mu.Lock()
 		from := e.next
@@ -137,7 +137,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !tries.Ended(err) {
+		if !tries.Observe(err) {
 			boottime.Sleep(ctx, configRetry)
 			continue
 		}
--- a/leader/load.go
+++ b/leader/load.go
@@ -140,7 +140,7 @@
 // not negative. It passes each record to handle and returns the next offset.
 func (l *Leader) readPartition(ctx context.Context, topic string, part int, end int64, handle func([]byte)) (int64, error) {
 	var from int64
-	tries := l.repeated("load_reads", "loading "+topic)
+	reporter := l.retryReporter("load_reads", "loading "+topic)
 	size := newReadSize(l.cfg.LinkBps)
 	for {
 		b, err := l.cfg.Client.ReadLog(ctx, size.timeout, platform.Read{Topic: topic, Part: part, From: from, MaxKB: size.kb})
@@ -149,7 +149,7 @@
 			continue
 		}
 		size.adjust(err)
-		if !tries.Ended(err) {
+		if !reporter.Observe(err) {
 			if !boottime.Sleep(ctx, readRetryDelay) {
 				return 0, err
 			}
--- a/leader/read.go
+++ b/leader/read.go
@@ -18,7 +18,7 @@
 // readIntake follows one partition of the intake, the submissions and cancellations of all
 // hosts.
 func (l *Leader) readIntake(ctx context.Context, part int, from int64) {
-	tries := l.repeated("intake_reads", "reading the intake")
+	reporter := l.retryReporter("intake_reads", "reading the intake")
 	for ctx.Err() == nil {
 		sent := boottime.Now()
 		b, err := l.cfg.Client.ReadLog(ctx, readTimeout, platform.Read{Topic: TopicIntake, Part: part, From: from, Wait: longPollWait})
@@ -30,7 +30,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !tries.Ended(err) {
+		if !reporter.Observe(err) {
 			boottime.Sleep(ctx, readRetryDelay)
 			continue
 		}
@@ -43,9 +43,9 @@
 	}
 }
 
-// repeated returns a reporter for reads of the log that are repeated while this host leads.
-func (l *Leader) repeated(name, what string) telemetry.Repeated {
-	return telemetry.Repeated{Name: name, What: what, Log: l.cfg.Log, Metrics: l.cfg.Metrics}
+// retryReporter returns a reporter for reads of the log that are retried while this host leads.
+func (l *Leader) retryReporter(metric, operation string) telemetry.RetryReporter {
+	return telemetry.RetryReporter{Metric: metric, Operation: operation, Log: l.cfg.Log, Metrics: l.cfg.Metrics}
 }
 
 func (l *Leader) decodeIntake(records [][]byte) region.IntakeRead {
@@ -64,10 +64,10 @@
 // watchWorkers follows the worker list, which log messages and metrics call the host list.
 func (l *Leader) watchWorkers(ctx context.Context) {
 	w := &workerListReader{leader: l, listed: make(map[string]bool)}
-	tries := l.repeated("host_list_reads", "reading the host list")
+	reporter := l.retryReporter("host_list_reads", "reading the host list")
 	for ctx.Err() == nil {
 		err := w.readNext(ctx)
-		if ctx.Err() == nil && !tries.Ended(err) {
+		if ctx.Err() == nil && !reporter.Observe(err) {
 			boottime.Sleep(ctx, readRetryDelay)
 		}
 	}
--- a/telemetry/repeated_test.go
+++ b/telemetry/repeated_test.go
@@ -13,13 +13,13 @@
 // While the host list could not be read, operators found no sign of it: failed reads were
 // retried silently. Each failure is counted, and the log gets one line when failures begin and
 // one when they end, however many reads fail.
-func TestRepeatedFailureIsCountedAndLoggedOnce(t *testing.T) {
+func TestRetriedFailureIsCountedAndLoggedOnce(t *testing.T) {
 	logger, lines := logtest.NewNullLogger()
 	scope := tally.NewTestScope("", nil)
-	r := Repeated{Name: "host_list_reads", What: "reading the host list", Log: logrus.NewEntry(logger), Metrics: scope}
+	reporter := RetryReporter{Metric: "host_list_reads", Operation: "reading the host list", Log: logrus.NewEntry(logger), Metrics: scope}
 	down := errors.New("down")
 	for _, err := range []error{nil, down, down, down, nil, nil} {
-		if ok := r.Ended(err); ok != (err == nil) {
+		if ok := reporter.Observe(err); ok != (err == nil) {
 			t.Errorf("a try that ended with %v: success %v", err, ok)
 		}
 	}
