--- a/host/election.go
+++ b/host/election.go
@@ -117,7 +117,7 @@
 
 // watchClaims follows the claims.
 func (e *election) watchClaims(ctx context.Context) {
-	tries := telemetry.Repeated{Name: "claim_reads", What: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
+	tries := telemetry.RetryReporter{Metric: "claim_reads", Operation: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
 	for ctx.Err() == nil {
 		e.mu.Lock()
 		from := e.next
@@ -137,7 +137,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !tries.Ended(err) {
+		if !tries.Observe(err) {
 			boottime.Sleep(ctx, configRetry)
 			continue
 		}
@@ -165,7 +165,7 @@
 			e.claimTimes = append(e.claimTimes, boottime.Now())
 		}
 		if e.lead != nil && e.leadFence < e.fence {
-			e.lead.Depose(e.fence)
+			e.lead.StepDown(e.fence)
 		}
 		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leader claimed")
 		select {
@@ -293,9 +293,9 @@
 	case gone:
 		return true
 	case closed:
-		return e.watcher.Silent(ctx, closedSilence)
+		return e.watcher.NoNewEntries(ctx, closedSilence)
 	}
-	return e.watcher.Silent(ctx, e.patience(boottime.Now()))
+	return e.watcher.NoNewEntries(ctx, e.patience(boottime.Now()))
 }
 
 // patience is how long the entries must stand still before this host takes over from a
