--- a/host/command.go
+++ b/host/command.go
@@ -17,7 +17,7 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// Command implements "fireflyfold host".
+// Command implements the subcommand "fireflyfold host", which runs one entry host.
 type Command struct {
 	settings string
 	level    string
@@ -32,16 +32,16 @@
 // Usage implements subcommands.Command.
 func (*Command) Usage() string {
 	return `host [--settings FILE] [--log-level LEVEL]
-  Runs one entry host of a region. The settings have the platform's format;
-  without --settings they are where the platform says. SIGTERM begins a planned
-  stop, SIGHUP reads the settings again.
+  Runs one entry host of a region. The settings file has the platform's format;
+  without --settings the platform's path is used. SIGTERM begins a planned stop,
+  SIGHUP rereads the settings.
 `
 }
 
 // SetFlags implements subcommands.Command.
 func (c *Command) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", "", "settings file (default: the platform's)")
-	f.StringVar(&c.level, "log-level", "info", "least severe level that is logged")
+	f.StringVar(&c.level, "log-level", "info", "lowest severity that is logged")
 }
 
 // Execute implements subcommands.Command.
@@ -62,16 +62,17 @@
 }
 
 const (
-	// gcPercent lets the heap grow to four times what is live before it is
-	// collected: a leader holds some 15 MB live and allocates for every call.
+	// gcPercent lets the heap grow to four times the live data before a collection:
+	// a leader holds some 15 MB live and allocates for every call.
 	gcPercent = 300
-	// memoryShare of the platform's bound is where collection becomes eager, so
-	// that a burst does not end the process.
+	// memoryShare is the fraction of the platform's memory bound at which the runtime
+	// collects more often. Without it a burst could exceed the bound and end the process.
 	memoryShare = 0.6
 )
 
-// limitMemory sets how eagerly memory is collected. GOGC and GOMEMLIMIT, if set,
-// are overridden: the platform's bound is what ends the process.
+// limitMemory configures the garbage collector for a memory bound in MiB. It
+// overrides GOGC and GOMEMLIMIT, because the platform ends a process that exceeds
+// its bound.
 func limitMemory(boundMB int64) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(boundMB<<20) * memoryShare))
@@ -93,7 +94,7 @@
 	h := New(s, tel)
 	go h.watchSettings(ctx, c.settings)
 	err = h.Run(ctx)
-	// Metrics and spans of the last second may be lost with the process.
+	// An error here loses at most the metrics and spans of the last second.
 	_ = tel.Close(context.Background())
 	return err
 }
--- a/host/host.go
+++ b/host/host.go
@@ -1,6 +1,6 @@
-// Package host is one entry host of a region. It answers callers, keeps what
-// they hand in in the platform's log, and either leads the region's scheduling
-// or helps the host that does.
+// Package host implements one entry host of a region. It serves callers, appends
+// what they submit to the platform's log, and either leads the region's scheduling
+// or assists the host that leads it.
 package host
 
 import (
@@ -28,27 +28,28 @@
 )
 
 const (
-	// connsPerAddress bounds the connections to one address: a look, several
-	// starts at once, and a few that went silent.
+	// connsPerAddress bounds the connections to one address: a status poll, several
+	// concurrent starts, and a few that no longer answer.
 	connsPerAddress = 16
-	// readHeaderTimeout ends connections of callers that never finish a header.
+	// readHeaderTimeout closes connections of callers that never complete a header.
 	readHeaderTimeout = 5 * time.Second
-	// leaseShare of the longest lease is asked for. A long lease outlives the
-	// loss of the leader and cuts of some seconds; a short one frees the work of
-	// a lost worker sooner.
+	// leaseShare is the fraction of the longest allowed lease that is requested. A
+	// long lease outlasts the loss of the leader and network partitions of some
+	// seconds; a short one frees the tasks of a lost worker sooner.
 	leaseShare = 1.0
-	// startShare of a leader's link is for starts, each of which takes startBytes in the
-	// mean, with its record in the log and the advice before it.
+	// startShare is the fraction of a leader's link that task starts may use. A start
+	// takes startBytes on average, including its log record and the advice before it.
 	startShare = 0.6
 	startBytes = 1000
-	// drainTime is how long a stopping host goes on answering on its open
-	// connections before it closes idle ones.
+	// drainTime is how long a stopping host keeps answering on open connections
+	// before it closes idle ones.
 	drainTime = 1200 * time.Millisecond
-	// stopMargin is left of the platform's grace for the process to end.
+	// stopMargin is the part of the platform's grace period that is left for the
+	// process to exit.
 	stopMargin = 1500 * time.Millisecond
 )
 
-// Host is one entry host.
+// Host is one entry host of a region.
 type Host struct {
 	settings    platform.Settings
 	incarnation string
@@ -66,14 +67,14 @@
 	helpers  *helpers
 	contact  contact
 	group    conc.WaitGroup
-	work     context.Context // ends when the host has stopped
+	work     context.Context // canceled when the host has stopped
 	endWork  context.CancelFunc
 
 	stopping  atomic.Bool
 	stoppedAt atomic.Int64
 }
 
-// New returns a host that has not begun.
+// New returns a host with the given settings. Run starts it.
 func New(s platform.Settings, tel *telemetry.Telemetry) *Host {
 	meter := linkstats.New(tel.Metrics.SubScope("link"))
 	client := platform.NewClient(s.Names, connsPerAddress, meter)
@@ -108,7 +109,8 @@
 	return strength{milliCPU: h.settings.MilliCPU, linkBps: h.settings.LinkBps, memoryMiB: h.settings.MemoryMB}
 }
 
-// Run serves until ctx ends, then stops gracefully.
+// Run serves until ctx ends or another producer replaces the intake writer, then
+// stops gracefully. It returns a *ListenError if a port cannot be opened.
 func (h *Host) Run(ctx context.Context) error {
 	defer h.endWork()
 	lost := make(chan struct{})
@@ -123,8 +125,9 @@
 	h.group.Go(func() { h.election.run(h.work) })
 	h.group.Go(func() {
 		if err := h.intake.Run(h.work); err != nil && h.work.Err() == nil {
-			// Somebody writes under our producer's name; a new process has a new one.
-			h.log.WithError(err).Error("intake lost")
+			// Another producer wrote under this host's producer name. A new process has
+			// a new incarnation and with it a new name.
+			h.log.WithError(err).Error("intake writer failed; stopping")
 			close(lost)
 		}
 	})
@@ -139,7 +142,8 @@
 	return nil
 }
 
-// stop hands over, lets callers go, and ends.
+// stop hands over the leadership, drains the callers' connections and shuts down
+// the servers, all within the grace period.
 func (h *Host) stop(servers []*http.Server) {
 	h.log.WithField("leading", h.election.leading() != nil).Info("stopping")
 	h.stoppedAt.Store(int64(boottime.Now()))
@@ -151,27 +155,28 @@
 	boottime.Sleep(ctx, drainTime)
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			h.log.WithError(err).Warn("connections were still busy at the end")
+			h.log.WithError(err).Warn("connections still busy when the stop timed out")
 		}
 	}
 }
 
-// intakeLate reports whether a submission would be taken too late in a stop to
-// be answered before the process ends.
+// intakeLate reports whether too little of the grace period is left in a stop to
+// answer a new submission before the process ends.
 func (h *Host) intakeLate() bool {
 	return boottime.Now()-time.Duration(h.stoppedAt.Load()) > h.settings.Grace-2*stopMargin
 }
 
-// Ready reports whether callers are well served here: the configuration is
-// confirmed and the log takes submissions.
+// Ready reports whether this host can serve callers: it is not stopping or
+// isolated, its configuration is confirmed, and submissions reach the log from
+// here or through a peer.
 func (h *Host) Ready() bool {
 	return !h.stopping.Load() && h.config.Config() != nil &&
 		h.config.Age() < h.settings.KeyRevocation-revocationMargin && !h.isolated() &&
 		(h.intake.Healthy() || h.config.PeerContact())
 }
 
-// listen opens the three ports. Callers come last, so that whoever reaches them
-// finds the rest at work; their server is the first of the result.
+// listen opens the three ports. The callers' port is opened last, when the other
+// servers already run; its server is the first of the result.
 func (h *Host) listen() ([]*http.Server, error) {
 	control := http.NewServeMux()
 	control.Handle(hostrpc.NewLeaderHandler(h))
@@ -201,14 +206,14 @@
 		servers = append([]*http.Server{s}, servers...)
 		h.group.Go(func() {
 			if err := s.Serve(h.meter.Listener(l)); err != http.ErrServerClosed {
-				h.log.WithError(err).Error("listener ended")
+				h.log.WithError(err).Error("server failed")
 			}
 		})
 	}
 	return servers, nil
 }
 
-// ListenError reports a port that cannot be opened.
+// ListenError reports that a port cannot be opened.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -217,7 +222,7 @@
 // Error implements error.
 func (e *ListenError) Error() string { return "listen on " + e.Address + ": " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the listen call.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/host/reload.go
+++ b/host/reload.go
@@ -12,13 +12,13 @@
 	"github.com/fireflyfold/fireflyfold/platform"
 )
 
-// settingsEvery is how often the settings file is read, for a change that no
-// signal announces.
+// settingsEvery is the interval between reads of the settings file. It detects
+// changes that are not announced by a signal.
 const settingsEvery = 2 * time.Second
 
-// watchSettings reads the settings again on SIGHUP and from time to time.
-// Addresses of this process and of the platform hold until the next start, as
-// connections and listeners stand on them; a change of theirs is logged.
+// watchSettings rereads the settings on SIGHUP and every settingsEvery, and logs
+// whether they changed. The addresses of this process and of the platform stay in
+// force until the next start, because listeners and connections depend on them.
 func (h *Host) watchSettings(ctx context.Context, path string) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -37,7 +37,7 @@
 		}
 		next, err := platform.LoadSettings(path)
 		if err != nil {
-			h.log.WithError(err).Error("settings rejected; the earlier ones hold")
+			h.log.WithError(err).Error("settings rejected; keeping the earlier ones")
 			continue
 		}
 		if signalled || next != known {
