--- a/host/configwatch.go
+++ b/host/configwatch.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// configWait is how long the log may wait for a newer configuration. An
-	// answer without one proves that the known one was still the newest when
-	// the read was sent, so that this is also how stale the proof gets.
+	// configWait is how long a read of the log waits for a newer configuration. An
+	// answer without one proves that the known one was the newest when the read was
+	// sent, so this also bounds how stale the proof gets.
 	configWait = 800 * time.Millisecond
-	// configTimeout bounds a read beyond the time it may wait.
+	// configTimeout bounds a read of the log, in addition to configWait.
 	configTimeout = 700 * time.Millisecond
-	// peerContactLife is how long a peer's confirmation shows that peers can be
-	// reached: a failed read of the log and a pause lie between two.
+	// peerContactLife is how long a confirmation by a peer counts as proof that peers
+	// can be reached. Between two confirmations lie a failed read of the log and a
+	// pause.
 	peerContactLife = 2 * time.Second
-	// configRetry is the pause after a read that failed.
+	// configRetry is the pause after a failed read of the configuration or the claims.
 	configRetry = 100 * time.Millisecond
 )
 
-// configWatch follows the operators' configuration.
+// configWatch follows the operators' configuration in the log.
 type configWatch struct {
 	client *platform.Client
 	log    *logrus.Entry
 
 	config   atomic.Pointer[model.Config]
-	raw      atomic.Pointer[[]byte] // of config, as the platform wrote it
+	raw      atomic.Pointer[[]byte] // encoded form of config, as the platform wrote it
 	peers    func(ctx context.Context, have int64) (peerConfig, error)
 	peerAt   atomic.Int64 // when a peer last confirmed the configuration
-	provenAt atomic.Int64 // when a read was sent that showed nothing newer
-	logAt    atomic.Int64 // the same, for our own reads of the log alone
-	next     int64
-	whole    bool
-	lost     bool // the log is out of reach; only run uses it
+	provenAt atomic.Int64 // send time of the newest read, here or at a peer, that confirmed config
+	logAt    atomic.Int64 // send time of this host's own newest successful read of the log
+	next     int64        // offset of the next record to read
+	whole    bool         // the newest record of each key has been read
+	lost     bool         // the newest read of the log failed; used by run only
 }
 
-// Config returns the newest configuration known, or nil.
+// Config returns the newest configuration known, or nil if there is none yet.
 func (c *configWatch) Config() *model.Config { return c.config.Load() }
 
-// Age is how long ago the known configuration was certainly the newest.
+// Age returns how long ago the known configuration was last confirmed as the newest.
 func (c *configWatch) Age() time.Duration {
 	return boottime.Now() - time.Duration(c.provenAt.Load())
 }
@@ -66,21 +67,21 @@
 	}
 }
 
-// LogAge is how long ago this host itself last read the log.
+// LogAge returns how long ago this host's newest successful read of the log was sent.
 func (c *configWatch) LogAge() time.Duration {
 	return boottime.Now() - time.Duration(c.logAt.Load())
 }
 
-// peerConfig is what another host knows of the configuration.
+// peerConfig is another host's answer about the configuration.
 type peerConfig struct {
 	version int64
-	age     time.Duration // how long ago it was certainly the newest
-	raw     []byte        // empty if it is the version that was named
+	age     time.Duration // time since it was confirmed as the newest
+	raw     []byte        // empty if the version is not newer than the requested one
 }
 
-// askPeers takes over the configuration of a host that reaches the log. Without
-// it, a host that the log turns away would refuse every key once its own
-// configuration is too old to trust.
+// askPeers fetches and confirms the configuration through a host that reaches the
+// log. Without it, a host that the log refuses would refuse every key once its own
+// configuration has gone unconfirmed for too long.
 func (c *configWatch) askPeers(ctx context.Context) {
 	var have int64
 	if now := c.config.Load(); now != nil {
@@ -89,7 +90,7 @@
 	sent := boottime.Now()
 	got, err := c.peers(ctx, have)
 	if err != nil {
-		return // the log's own failure is logged already; the age tells the rest
+		return // the failed read of the log is logged already, and Age shows the rest
 	}
 	if len(got.raw) > 0 {
 		c.take(platform.KeyConfig, got.raw)
@@ -105,13 +106,13 @@
 	}
 }
 
-// PeerContact reports whether another host that reaches the log has confirmed
-// the configuration lately.
+// PeerContact reports whether another host that reaches the log has confirmed the
+// configuration within peerContactLife.
 func (c *configWatch) PeerContact() bool {
 	return boottime.Now()-time.Duration(c.peerAt.Load()) < peerContactLife
 }
 
-// note logs when the log is lost and regained.
+// note logs when the log becomes unreachable and when it is reached again.
 func (c *configWatch) note(err error) {
 	switch {
 	case err != nil && !c.lost:
@@ -130,8 +131,8 @@
 	b, err := c.client.ReadLog(ctx, configTimeout, platform.Read{Topic: platform.TopicOperators, From: c.next, Wait: configWait})
 	var expired *platform.ExpiredError
 	if errors.As(err, &expired) {
-		// The history may be dropped at any time; the newest record of each key
-		// stays.
+		// The log may drop its history at any time but retains the newest record of
+		// each key.
 		c.whole = false
 		return c.readWhole(ctx)
 	}
@@ -142,7 +143,7 @@
 	for _, data := range b.Records {
 		key, value, err := platform.DecodeKeyed(data)
 		if err != nil {
-			c.log.WithError(err).Warn("record of the operators cannot be read")
+			c.log.WithError(err).Warn("cannot decode a record of the operators' topic")
 			continue
 		}
 		c.take(key, value)
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// take puts a configuration in force, unless it is older than the one in force:
-// a read of the whole topic may show what a later read has passed already.
+// take puts a configuration in force unless it is no newer than the current one: a
+// read of all keys may return a version that an earlier read has already superseded.
 func (c *configWatch) take(key string, value []byte) {
 	if key != platform.KeyConfig {
 		return
--- a/host/helpers.go
+++ b/host/helpers.go
@@ -13,47 +13,51 @@
 )
 
 const (
-	// pingEvery is how often a host asks the leader for a sign of life, in a region
-	// where no leader has asked for less.
+	// pingEvery is the shortest interval between a host's pings to the leader. It
+	// applies unless the leader has asked for a longer one.
 	pingEvery = 300 * time.Millisecond
-	// mostPings and leastPings bound how many pings a second a leader takes from all hosts
-	// together. With more hosts each pings less often: some other one notices all the same.
+	// mostPings and leastPings bound the pings per second that a leader takes from all
+	// hosts together. With more hosts each pings less often; the loss of the leader is
+	// still detected in time by one of them.
 	mostPings  = 60
 	leastPings = 8
-	// pingBytes is what a ping and its answer take of a leader's link, and pingShare what all
-	// of them may take.
+	// pingBytes is what a ping and its response take of a leader's link, and pingShare
+	// the fraction of the link that all pings may use.
 	pingBytes = 700
 	pingShare = 0.02
-	// helperPings is how many pings a helper may miss, and helperSlack how late the next
-	// one may be.
+	// helperPings is the number of ping intervals without a ping after which a helper
+	// is dropped, and helperSlack the grace period added to them.
 	helperPings = 3
 	helperSlack = 600 * time.Millisecond
-	// successorsNamed is how many hosts a leader names that should lead after it.
+	// successorsNamed is the largest number of preferred successors that a leader
+	// sends to the other hosts.
 	successorsNamed = 4
-	// addressSample is how many addresses of other hosts the answer to a ping holds.
-	// All of them in each answer would cost bytes with the square of the hosts.
+	// addressSample is the largest number of host addresses in the response to a ping.
+	// With all addresses in each response, traffic would grow with the square of the
+	// number of hosts.
 	addressSample = 6
 )
 
-// helpers are the hosts that have pinged this one, as the leader.
+// helpers tracks the hosts that ping this one while it leads.
 type helpers struct {
 	mu   sync.Mutex
 	seen map[string]*helper
-	turn int // of the addresses told
-	rate int // pings a second from all of them together
+	turn int // index of the last address sent in a response
+	rate int // pings per second from all hosts together
 }
 
 type helper struct {
 	name    string
 	address string
-	first   time.Duration // when it was first seen in this incarnation
-	until   time.Duration // when it no longer counts without another ping
+	first   time.Duration // time of the first ping from this incarnation
+	until   time.Duration // when it is dropped unless it pings again
 	inc     string
 	strength
-	rank float64 // by strength
+	rank float64 // capacity as one number; larger is better
 }
 
-// newHelpers returns the helpers of a host whose link carries linkBps bytes a second.
+// newHelpers returns an empty list for a leader whose link carries linkBps bytes
+// per second.
 func newHelpers(linkBps int64) *helpers {
 	rate := int(min(pingShare*float64(linkBps)/pingBytes, mostPings))
 	return &helpers{seen: make(map[string]*helper), rate: max(rate, leastPings)}
@@ -77,13 +81,13 @@
 	p.until = now + helperPings*every + helperSlack
 }
 
-// pingPause is how long the leader wants a host to wait before its next ping.
+// pingPause returns the interval at which each host is to ping the leader.
 func (h *helpers) pingPause() time.Duration {
 	return max(pingEvery, time.Duration(len(h.seen))*time.Second/time.Duration(h.rate))
 }
 
-// answerPing fills in the answer to a ping: how long the host is to wait before its next
-// one, addresses of a few others, and who should lead next.
+// answerPing fills in the response to a ping: the time until the host's next ping,
+// addresses of a few other hosts, and the preferred successors of the leader.
 func (h *helpers) answerPing(resp *hostrpc.PingResponse) {
 	alive, next := h.alive(), h.successors()
 	for _, p := range next[:min(len(next), successorsNamed)] {
@@ -98,7 +102,7 @@
 	resp.NextMs = h.pingPause().Milliseconds()
 }
 
-// lost takes a host that cannot be reached off the list until it pings again.
+// lost removes a host that cannot be reached until it pings again.
 func (h *helpers) lost(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +125,8 @@
 	return out
 }
 
-// names returns the helpers' names in order, after this host's own, "".
+// names returns "", which stands for this host, followed by the helpers' names in
+// ascending order.
 func (h *helpers) names() []string {
 	out := []string{""}
 	for _, p := range h.alive() {
@@ -140,20 +145,20 @@
 	return p.address, true
 }
 
-// strength is what a host may use of what leading takes: thousandths of a core, bytes a
-// second of its link, and mebibytes.
+// strength holds the resources of a host that matter for leading: thousandths of a
+// core, bytes per second of its link, and mebibytes of memory.
 type strength struct{ milliCPU, linkBps, memoryMiB int64 }
 
-// over returns how many times as much a host has as another one: the mean of the three
-// ratios, so that a host with more of everything is stronger whatever the units.
+// over returns the ratio of s to o: the geometric mean of the ratios of the three
+// resources, which does not depend on their units.
 func (s strength) over(o strength) float64 {
 	ratio := func(a, b int64) float64 { return float64(max(a, 1)) / float64(max(b, 1)) }
 	return math.Cbrt(ratio(s.milliCPU, o.milliCPU) * ratio(s.linkBps, o.linkBps) * ratio(s.memoryMiB, o.memoryMiB))
 }
 
-// successors returns the helpers in the order in which they are asked to take
-// over: the strongest first, and among equals the one that started last. In a rolling
-// restart it is the least likely to be stopped next.
+// successors returns the helpers in the order in which they are asked to take over:
+// by descending rank, and among equals the one that started last. In a rolling
+// restart that one is the least likely to be stopped next.
 func (h *helpers) successors() []*helper {
 	out := h.alive()
 	slices.SortStableFunc(out, func(a, b *helper) int {
@@ -162,7 +167,8 @@
 	return out
 }
 
-// stronger reports whether some helper is so much stronger that it should lead instead.
+// stronger reports whether some helper exceeds the given host by at least the
+// factor muchStronger and should lead instead.
 func (h *helpers) stronger(than strength) bool {
 	for _, p := range h.alive() {
 		if p.over(than) >= muchStronger {
--- a/host/keep.go
+++ b/host/keep.go
@@ -13,7 +13,9 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Keep implements hostrpc.HelperHandler.
+// Keep implements hostrpc.HelperHandler. It appends a record to the intake for a
+// host that does not reach the log. It answers NOT_KEPT only if the record is
+// certainly not in the log, and UNSPECIFIED if it may be.
 func (h *Host) Keep(ctx context.Context, req *connect.Request[hostrpc.KeepRequest]) (*connect.Response[hostrpc.KeepResponse], error) {
 	if !h.intake.Healthy() {
 		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
@@ -36,12 +38,12 @@
 	return connect.NewResponse(&hostrpc.KeepResponse{Outcome: o})
 }
 
-// peerLogTimeout is how long another host's log may take for us; its answer has
-// to be back within peerTimeout.
+// peerLogTimeout bounds the append that another host makes on this host's behalf.
+// Its answer has to arrive within peerTimeout.
 const peerLogTimeout = 250 * time.Millisecond
 
-// keepByPeers asks other hosts to keep a record, at the same time: whichever
-// reaches the log is enough, and a record that is written twice counts once.
+// keepByPeers asks other hosts concurrently to append a record. One success is
+// enough, and a record that is appended twice counts once.
 func (h *Host) keepByPeers(ctx context.Context, data []byte) outcome {
 	addresses := h.election.others(peerTries)
 	outcomes := make(chan outcome, len(addresses))
@@ -65,7 +67,7 @@
 	return result
 }
 
-// keepBy asks one host to keep a record.
+// keepBy asks one host to append a record.
 func (h *Host) keepBy(ctx context.Context, address string, data []byte) outcome {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -73,7 +75,7 @@
 		Record: data, TimeoutMs: peerLogTimeout.Milliseconds(),
 	}))
 	if err != nil {
-		h.log.WithError(err).WithField("address", address).Debug("host did not say whether it kept the record")
+		h.log.WithError(err).WithField("address", address).Debug("peer did not report the outcome of the append")
 		return unknown
 	}
 	h.contact.heard()
@@ -86,7 +88,9 @@
 	return unknown
 }
 
-// Kept implements hostrpc.LeaderHandler.
+// Kept implements hostrpc.LeaderHandler. It passes a record that is already in the
+// log to the leader on this host. It answers FAILED_PRECONDITION if this host does
+// not lead, and INVALID_ARGUMENT if the record cannot be decoded.
 func (h *Host) Kept(ctx context.Context, req *connect.Request[hostrpc.KeptRequest]) (*connect.Response[hostrpc.KeptResponse], error) {
 	l := h.election.leading()
 	if l == nil {
@@ -100,12 +104,12 @@
 	return connect.NewResponse(&hostrpc.KeptResponse{}), nil
 }
 
-// tellTimeout bounds the word to the leader of a record that is kept; its own read
-// brings the record as well.
+// tellTimeout bounds the notification of the leader. The leader's own read of the
+// log brings the record as well.
 const tellTimeout = 300 * time.Millisecond
 
-// tellLeader tells the leader of a record that is in the log. The caller does not
-// wait for it. A host that ends tells nobody any more.
+// tellLeader notifies the leader of a record that is in the log. If another host
+// leads, the call runs in the background, and is skipped once this host has stopped.
 func (h *Host) tellLeader(r *record.Intake, data []byte) {
 	if l := h.election.leading(); l != nil {
 		l.Kept(h.work, r)
@@ -120,7 +124,7 @@
 		defer cancel()
 		if _, err := h.peers.leader(claim.Address).Kept(ctx, newRequest(&hostrpc.KeptRequest{Record: data})); err != nil {
 			h.metrics.Counter("leader_not_told").Inc(1)
-			h.log.WithError(err).WithField("leader", claim.Host).Debug("leader not told of a kept record; it reads the log")
+			h.log.WithError(err).WithField("leader", claim.Host).Debug("leader not notified of an appended record; it will read it from the log")
 			return
 		}
 		h.contact.heard()
--- a/host/peers.go
+++ b/host/peers.go
@@ -17,7 +17,7 @@
 
 func newRequest[T any](m *T) *connect.Request[T] { return connect.NewRequest(m) }
 
-// peers keeps the clients of other hosts.
+// peers holds the RPC clients for other hosts.
 type peers struct {
 	leaders clients[hostrpc.LeaderClient]
 	helps   clients[hostrpc.HelperClient]
@@ -33,7 +33,7 @@
 func (p *peers) leader(address string) hostrpc.LeaderClient { return p.leaders.of(address) }
 func (p *peers) helper(address string) hostrpc.HelperClient { return p.helps.of(address) }
 
-// clients keeps one client for each address.
+// clients creates and reuses one client per address.
 type clients[C any] struct {
 	make func(url string) C
 
@@ -57,7 +57,8 @@
 
 var errNotLeading = errors.New("this host does not lead")
 
-// Ping implements hostrpc.LeaderHandler.
+// Ping implements hostrpc.LeaderHandler. A host that does not lead answers with its
+// incarnation only.
 func (h *Host) Ping(_ context.Context, req *connect.Request[hostrpc.PingRequest]) (*connect.Response[hostrpc.PingResponse], error) {
 	l := h.election.leading()
 	if l == nil {
@@ -69,7 +70,9 @@
 	return connect.NewResponse(resp), nil
 }
 
-// State implements hostrpc.LeaderHandler.
+// State implements hostrpc.LeaderHandler. It returns the state of a job and its
+// workspace. It answers FAILED_PRECONDITION if this host does not lead, and
+// UNAVAILABLE if its knowledge may be out of date.
 func (h *Host) State(_ context.Context, req *connect.Request[hostrpc.StateRequest]) (*connect.Response[hostrpc.StateResponse], error) {
 	l := h.election.leading()
 	if l == nil {
@@ -82,7 +85,9 @@
 	return connect.NewResponse(&hostrpc.StateResponse{State: int32(state), Workspace: workspace}), nil
 }
 
-// Pending implements hostrpc.LeaderHandler.
+// Pending implements hostrpc.LeaderHandler. It returns the number of pending jobs of
+// a queue. It answers FAILED_PRECONDITION if this host does not lead, and
+// UNAVAILABLE if it is still loading.
 func (h *Host) Pending(_ context.Context, req *connect.Request[hostrpc.PendingRequest]) (*connect.Response[hostrpc.PendingResponse], error) {
 	l := h.election.leading()
 	if l == nil {
@@ -95,7 +100,9 @@
 	return connect.NewResponse(&hostrpc.PendingResponse{Jobs: n}), nil
 }
 
-// Advise implements hostrpc.HelperHandler.
+// Advise implements hostrpc.HelperHandler. It calls the advice service on behalf of
+// the leader. It answers DEADLINE_EXCEEDED if the service did not answer, and
+// UNAVAILABLE for any other failure.
 func (h *Host) Advise(ctx context.Context, req *connect.Request[hostrpc.AdviseRequest]) (*connect.Response[hostrpc.AdviseResponse], error) {
 	m := req.Msg
 	tickets, err := h.client.Advise(ctx, time.Duration(m.TimeoutMs)*time.Millisecond, m.Step, m.Workers)
@@ -112,9 +119,11 @@
 	return connect.NewResponse(resp), nil
 }
 
-var errLogAway = errors.New("this host does not reach the log")
+var errLogAway = errors.New("this host cannot reach the log")
 
-// Config implements hostrpc.HelperHandler.
+// Config implements hostrpc.HelperHandler. It returns the version and age of the
+// configuration, and the configuration itself if it is newer than the caller's. It
+// answers UNAVAILABLE if this host has none.
 func (h *Host) Config(_ context.Context, req *connect.Request[hostrpc.ConfigRequest]) (*connect.Response[hostrpc.ConfigResponse], error) {
 	config, raw := h.config.Config(), h.config.raw.Load()
 	if config == nil || raw == nil {
@@ -127,13 +136,14 @@
 	return connect.NewResponse(resp), nil
 }
 
-// peerTimeout bounds a call that another host makes to the log for us.
+// peerTimeout bounds a call in which another host uses the log on this host's behalf.
 const peerTimeout = 400 * time.Millisecond
 
-// peerTries is how many hosts are asked in turn.
+// peerTries is the largest number of hosts that one operation calls.
 const peerTries = 2
 
-// configOfPeers asks other hosts for the configuration.
+// configOfPeers asks other hosts, one after another, for the configuration. have is
+// the version that this host has; 0 for none.
 func (h *Host) configOfPeers(ctx context.Context, have int64) (peerConfig, error) {
 	var last error = errNoPeers
 	defer func() {
@@ -159,17 +169,20 @@
 
 var errNoPeers = errors.New("no other host is known")
 
-// TakeOver implements hostrpc.HelperHandler.
+// TakeOver implements hostrpc.HelperHandler. It claims the leadership that follows
+// the given fencing token. It answers FAILED_PRECONDITION if this host is stopping
+// or another host leads already, and UNAVAILABLE if the log cannot be reached or
+// the claim failed.
 func (h *Host) TakeOver(ctx context.Context, req *connect.Request[hostrpc.TakeOverRequest]) (*connect.Response[hostrpc.TakeOverResponse], error) {
 	if h.stopping.Load() {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errStopping)
 	}
 	if _, fence := h.election.current(); fence != req.Msg.Fence && h.election.leading() == nil {
-		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading) // somebody else leads by now
+		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading) // another host has claimed since
 	}
-	// That this host's own last append got no answer tells nothing: the log may be
-	// slow for everyone, and then every helper would refuse and nobody lead for
-	// seconds. The reads here and the claim itself tell whether it is reached.
+	// An unanswered append by this host does not count against it: if the log is slow
+	// for everyone, every helper would refuse and the region would have no leader for
+	// seconds. The reads here and the claim itself show whether the log is reachable.
 	if h.config.LogAge() > logContactLife || !h.election.watcher.Reachable(ctx) {
 		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
 	}
@@ -180,8 +193,8 @@
 	return connect.NewResponse(&hostrpc.TakeOverResponse{}), nil
 }
 
-// logContactLife is how old a host's own newest read of the log may be for it to
-// take over: a read waits for most of a second.
+// logContactLife is the largest age of a host's newest read of the log with which it
+// takes over: a read waits for most of a second.
 const logContactLife = 2 * time.Second
 
 var errStopping = errors.New("this host is stopping")
@@ -194,7 +207,9 @@
 	})
 }
 
-// adviseFrom asks the advice service from a host.
+// adviseFrom calls the advice service from the host that a names; an empty name
+// stands for this host. The error is a *platform.NotSentError if the service was
+// certainly not called.
 func (h *Host) adviseFrom(ctx context.Context, timeout time.Duration, a region.Advise) ([]model.Ticket, error) {
 	step := platform.StepName(a.Job, a.Occurrence, a.Step)
 	if a.Host == "" {
@@ -219,10 +234,11 @@
 	return tickets, nil
 }
 
-// adviceFailed sorts the failure of a call for advice by another host. One that ran out of
-// its time tells of the host's queue at the advice service, not of the host.
+// adviceFailed classifies the error of an advice call made through another host. A
+// time-out is attributed to the advice service, not to the host, so the host stays
+// on the list. Any other error that the host did not return itself removes it.
 func (h *Host) adviceFailed(host string, err error) error {
-	wrapped := errors.Wrap(err, "advice by another host")
+	wrapped := errors.Wrap(err, "advice call through another host")
 	switch connect.CodeOf(err) {
 	case connect.CodeDeadlineExceeded, connect.CodeCanceled:
 		return wrapped
