--- a/host/ask.go
+++ b/host/ask.go
@@ -11,7 +11,7 @@
 	"github.com/fireflyfold/fireflyfold/region"
 )
 
-// state tells a job's state, as the leader knows it.
+// state answers with the job's state as the leader knows it.
 func (c *call) state() {
 	state, ok := c.ask()
 	if !ok {
@@ -25,12 +25,13 @@
 	c.answer(http.StatusOK, platform.EncodeState(stateNames[state]))
 }
 
-// ask asks the leader for the state of the caller's job. A job of another
-// workspace is as good as unknown: its callers must not be able to read or cancel
-// it with a key of their own.
+// ask asks the leader for the state of the caller's job. It reports false if the
+// leader did not answer. A job of another workspace is reported as unknown: a caller
+// must not be able to read or cancel it with its own key.
 //
-// While nobody leads, or the leader still loads, it asks again for a while: a
-// refusal would tell a caller whose job is done a second later than need be.
+// While there is no leader, or it is still loading, the call is repeated for up to
+// leaderPatience: a refusal would delay the answer by the caller's retry, a second
+// or more.
 func (c *call) ask() (region.State, bool) {
 	until := boottime.Now() + leaderPatience
 	for {
@@ -46,7 +47,7 @@
 	}
 }
 
-// askPatience is how long a question to the leader may take.
+// askPatience returns the timeout of one call to the leader.
 func (h *Host) askPatience() time.Duration {
 	if h.Ready() {
 		return askTimeout
@@ -72,7 +73,7 @@
 	return region.State(resp.Msg.State), resp.Msg.Workspace, true
 }
 
-// pending counts the queue's waiting jobs.
+// pending answers with the number of the queue's pending jobs.
 func (c *call) pending() {
 	n, ok := c.askPending()
 	if !ok {
--- a/host/election.go
+++ b/host/election.go
@@ -21,101 +21,104 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// topicClaims holds one record for each leadership; its offset plus one is the
-// leader's fencing token.
+// topicClaims is the topic with one record for each leadership. The record's offset
+// plus one is the leader's fencing token.
 const topicClaims = "claims"
 
 const (
-	// claimsWait is how long the log may wait for a new claim.
+	// claimsWait is how long a read of the log waits for a new claim.
 	claimsWait = 5 * time.Second
-	// claimTimeout bounds the append of a claim, and reads beyond their wait.
+	// claimTimeout bounds the append of a claim, and a read in addition to its wait.
 	claimTimeout = 900 * time.Millisecond
-	// mostPingPause bounds what a leader may ask for.
+	// mostPingPause bounds the ping interval that a leader may ask for.
 	mostPingPause = 10 * time.Second
-	// pingJitter parts a pause: it is shorter by up to a pingJitter-th.
+	// pingJitter bounds the jitter: an interval is shortened by up to 1/pingJitter of it.
 	pingJitter = 4
-	// pingTimeout bounds a ping. A busy host answers within some 100 ms; one that
-	// takes longer still has the log to show that it leads.
+	// pingTimeout bounds a ping. A busy host answers within some 100 ms. A leader that
+	// takes longer is not replaced while its entries in the log grow.
 	pingTimeout = 200 * time.Millisecond
-	// silence is how long the leader's entries must stand still, by a read of
-	// the log, before another host takes over; package leader adds the time that the
-	// log itself takes. A leader appends every 100 ms, and a process without
-	// processor pauses for most of that.
+	// silence is how long the log must show no new entry of the leader before another
+	// host takes over; package leader adds the time that the log takes to answer. A
+	// leader appends every 100 ms, and a process that gets no CPU time may pause for
+	// most of this time.
 	silence = 350 * time.Millisecond
-	// staleLead is how long a leader may go without the log before it asks the
-	// others to take over, and before they look whether they reach it: longer
+	// staleLead is how long a leader may get no answer from the log before it asks
+	// other hosts to take over, and before they check the log themselves. It is longer
 	// than an append takes when the log is slow for everyone.
 	staleLead = 900 * time.Millisecond
-	// refusedLead is how long the log may do nothing but refuse a leader before it
-	// asks the others to take over: refusals come at once, however slow the log is.
+	// refusedLead is how long the log may refuse every append of a leader before the
+	// leader asks other hosts to take over. Refusals come at once, however slow the
+	// log is, so this can be shorter.
 	refusedLead = 250 * time.Millisecond
-	// closedSilence is the same as silence if the leader's port is closed: its
-	// process has ended, unless a cut makes it look so.
+	// closedSilence replaces the longer time if the leader's port refuses connections:
+	// its process has ended, unless a network partition causes the refusal.
 	closedSilence = 200 * time.Millisecond
-	// handOverTimeout bounds the wait for a helper that claims.
+	// handOverTimeout bounds a call that asks a helper to claim.
 	handOverTimeout = claimTimeout + 300*time.Millisecond
-	// jitter spreads the claims of hosts that notice at the same time.
+	// jitter spreads the claims of hosts that detect the loss at the same time.
 	jitter = 20 * time.Millisecond
-	// weakDelay is how much later a host without any processor to speak of claims
-	// than one with a whole core: the stronger one shall win.
+	// weakDelay is the delay of a claim by a host with hardly any CPU, relative to a
+	// host with a whole core. It lets the larger host win.
 	weakDelay = 50 * time.Millisecond
-	// settleTime is how long a host leads at least before it hands over to a
-	// stronger one: by then all hosts have pinged it.
+	// settleTime is the shortest time that a host leads before it hands over to a
+	// larger one: by then all hosts have pinged it.
 	settleTime = time.Second
-	// nominateTimeout bounds the wait for a successor that is asked to claim, and
-	// nominateGap is how much later than the one before each is asked.
+	// nominateTimeout bounds the wait for a nominated successor to claim. The
+	// successors are asked one after another, nominateGap apart.
 	nominateTimeout = 600 * time.Millisecond
 	nominateGap     = 60 * time.Millisecond
-	// muchStronger times its own strength makes another host the better leader:
-	// less is not worth a change, which costs a few tenths of a second.
+	// muchStronger is the capacity ratio from which another host should lead instead.
+	// For less, a change of leader, which takes a few tenths of a second, is not
+	// worthwhile.
 	muchStronger = 1.5
-	// claimMemory is how long a claim counts among the recent ones, of which each but the
-	// first doubles the silence that another takeover needs, up to mostDoublings times.
+	// claimMemory is how long a claim counts as recent. Each recent claim but the first
+	// doubles the election timeout, up to mostDoublings times.
 	claimMemory   = 20 * time.Second
 	mostDoublings = 3
 )
 
-// election finds the leader and claims the lead when there is none.
+// election tracks the leader and claims the leadership when there is none.
 type election struct {
 	host   *Host
 	mu     sync.Mutex
 	claim  *record.Claim // newest claim read; nil if none
-	fence  int64         // of that claim
+	fence  int64         // fencing token of claim
 	next   int64         // offset after the newest claim read
-	readOK bool          // the claims were read to their end
+	readOK bool          // the claims have been read to their end
 
-	claimTimes []time.Duration // when claims were read, those of late
+	claimTimes []time.Duration // when recent claims were read
 
-	hosts     []string      // addresses of some other hosts, as the leader told them
-	pingEvery time.Duration // as the leader asked for
+	hosts     []string      // addresses of some hosts, from the leader's newest ping response
+	pingEvery time.Duration // interval that the leader asked for
 
-	successors []string // addresses of the hosts that should lead next, as the leader told them
-	turn       int      // which of them is asked next
+	successors []string // addresses of the preferred successors, from the same response
+	turn       int      // index of the last of hosts that was picked
 	watcher    *leader.Watcher
 	lead       *leader.Leader
-	leadFence  int64         // of lead
-	claimed    chan struct{} // a claim has been read
+	leadFence  int64         // fencing token of lead
+	claimed    chan struct{} // signals that a claim has been read
 }
 
 func newElection(h *Host) *election {
 	return &election{host: h, watcher: leader.NewWatcher(h.client), claimed: make(chan struct{}, 1)}
 }
 
-// current returns the newest claim and its fencing token.
+// current returns the newest claim read and its fencing token; nil and 0 if there is
+// none.
 func (e *election) current() (*record.Claim, int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.claim, e.fence
 }
 
-// leading returns the leadership of this host, or nil.
+// leading returns the leader that runs on this host, or nil if it does not lead.
 func (e *election) leading() *leader.Leader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lead
 }
 
-// watchClaims follows the claims.
+// watchClaims reads new claims from the log until ctx ends.
 func (e *election) watchClaims(ctx context.Context) {
 	tries := telemetry.Repeated{Name: "claim_reads", What: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
 	for ctx.Err() == nil {
@@ -145,7 +148,9 @@
 	}
 }
 
-// took notes claims that were read from an offset on.
+// took applies claims that were read from the offset from on; end is the offset after
+// the last claim in the log. It ends this host's leadership if a later claim is
+// among them.
 func (e *election) took(from int64, records [][]byte, end int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +162,7 @@
 		e.next = offset + 1
 		c := &record.Claim{}
 		if err := proto.Unmarshal(data, c); err != nil {
-			e.host.log.WithError(err).Error("claim cannot be read")
+			e.host.log.WithError(err).Error("cannot decode a claim")
 			continue
 		}
 		e.claim, e.fence = c, offset+1
@@ -167,7 +172,7 @@
 		if e.lead != nil && e.leadFence < e.fence {
 			e.lead.Depose(e.fence)
 		}
-		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leader claimed")
+		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leadership claim read")
 		select {
 		case e.claimed <- struct{}{}:
 		default:
@@ -176,9 +181,9 @@
 	e.readOK = e.next >= end
 }
 
-// run pings the leader, and claims the lead when it is gone. A new leader is
-// pinged as soon as its claim is read: until it knows the other hosts it asks for
-// all advice by itself, and what came while nobody led waits behind that.
+// run pings the leader and claims the leadership when the leader is gone. A new
+// leader is pinged as soon as its claim is read: until it knows other hosts it makes
+// all advice calls itself, which delays the backlog from the time without a leader.
 func (e *election) run(ctx context.Context) {
 	for due := boottime.Now(); ctx.Err() == nil; {
 		if boottime.Now() >= due || !e.host.intake.Healthy() {
@@ -196,14 +201,15 @@
 	}
 }
 
-// check looks once after the lead.
+// check runs one round: a leader checks whether to hand over, any other host whether
+// the leader is gone.
 func (e *election) check(ctx context.Context) {
 	if e.host.stopping.Load() {
 		return
 	}
 	if l := e.leading(); l != nil {
 		if l.LogContactAge() > staleLead || l.LogRefusedFor() > refusedLead {
-			// The log may turn only this host away: whoever reaches it claims.
+			// The log may be unreachable from this host only.
 			e.handOver(ctx)
 		} else if l.LedFor() > settleTime && e.host.helpers.stronger(e.host.strength()) {
 			e.handOver(ctx)
@@ -219,11 +225,11 @@
 	}
 }
 
-// nominate asks the hosts that the leader named as its successors to take over from it,
-// unless this host is one of them. It reports whether one has.
+// nominate asks the preferred successors that the leader named to take over, unless
+// this host is one of them. It reports whether one of them leads.
 //
-// In a large region most hosts are small, so that the one which notices first that the
-// leader is gone is likely to be too small to lead.
+// In a large region most hosts are small, so the first host that detects the loss of
+// the leader is likely to be too small to lead.
 func (e *election) nominate(ctx context.Context, fence int64) bool {
 	e.mu.Lock()
 	named := slices.Clone(e.successors)
@@ -244,7 +250,7 @@
 			}
 			_, err := e.host.peers.helper(address).TakeOver(ctx, newRequest(&hostrpc.TakeOverRequest{Fence: fence}))
 			if err != nil {
-				e.host.log.WithError(err).WithFields(logrus.Fields{"address": address, "fence": fence}).Debug("nominated host does not lead")
+				e.host.log.WithError(err).WithFields(logrus.Fields{"address": address, "fence": fence}).Debug("nominated host did not take over")
 			}
 			took <- err == nil
 		})
@@ -257,8 +263,8 @@
 	return false
 }
 
-// pingPause is how long to wait before the next ping, a little different each time so that
-// the hosts that learned of a leader together do not ping together for ever.
+// pingPause returns the time until the next ping. It includes jitter, because hosts
+// that read a claim at the same time would otherwise keep pinging at the same time.
 func (e *election) pingPause() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -269,14 +275,16 @@
 	return every - time.Duration(rand.Int64N(int64(every)/pingJitter))
 }
 
-// claimDelay is how long to wait before a claim.
+// claimDelay returns how long to wait before a claim: longer for a host with less
+// than a core, plus jitter.
 func (e *election) claimDelay() time.Duration {
 	const core = 1000
 	weakness := 1 - min(float64(e.host.settings.MilliCPU)/core, 1)
 	return time.Duration(weakness*float64(weakDelay)) + time.Duration(rand.Int64N(int64(jitter)))
 }
 
-// leaderGone reports whether the log shows that nobody leads.
+// leaderGone reports whether there is no leader, by the claims, a ping, and in doubt
+// the leader's entries in the log. It reports false until the claims have been read.
 func (e *election) leaderGone(ctx context.Context) bool {
 	e.mu.Lock()
 	claim, ok := e.claim, e.readOK
@@ -285,7 +293,7 @@
 		return false
 	}
 	if claim == nil || (claim.Host == e.host.settings.Host && e.leading() == nil) {
-		return true // nobody has ever led, or we did in an earlier life
+		return true // no claim yet, or the newest is this host's own and no longer led
 	}
 	switch e.ping(ctx, claim) {
 	case leads:
@@ -298,9 +306,10 @@
 	return e.watcher.Silent(ctx, e.patience(boottime.Now()))
 }
 
-// patience is how long the entries must stand still before this host takes over from a
-// leader that does not answer. It grows with the takeovers of late, so that takeovers
-// converge where a leader needs longer to be heard than silence: over a full link, say.
+// patience returns how long the log must show no new entry before this host takes over
+// from a leader that does not answer. It doubles with each recent takeover. Without
+// that, takeovers would repeat where the appends of a new leader arrive later than the
+// base value allows, such as over a saturated link.
 func (e *election) patience(now time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -308,7 +317,8 @@
 	return silence << min(max(len(e.claimTimes)-1, 0), mostDoublings)
 }
 
-// others returns addresses of other hosts, a few in turn, the leader first.
+// others returns the addresses of up to most other hosts: the leader first, then
+// others in rotation.
 func (e *election) others(most int) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -327,17 +337,18 @@
 	return out
 }
 
-// sign is what a ping tells of the leader.
+// sign is the result of a ping.
 type sign int
 
 const (
-	doubtful sign = iota // no answer, not leading (yet), or without the log
+	doubtful sign = iota // no answer, not leading (yet), or no recent contact with the log
 	leads
-	closed // nobody listens at its port
-	gone   // its process has ended: another one answers in its place
+	closed // its port refuses connections
+	gone   // its process has ended: another incarnation answers
 )
 
-// ping asks the leader for a sign of life.
+// ping pings the leader that made the claim and stores the host addresses, successors
+// and ping interval of its response.
 func (e *election) ping(ctx context.Context, claim *record.Claim) sign {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -368,12 +379,11 @@
 	return leads
 }
 
-// try claims the lead after the leader with that fencing token. The claim holds
-// only if no other was written since, so that of several hosts that notice at
-// the same time one succeeds. A host that reads a new claim while it still looks
-// at the old leader must not claim behind it: each such claim would cost another
-// change of leader, and every host would have its turn. It reports whether this
-// host leads.
+// try claims the leadership after the leader with the given fencing token, and reports
+// whether this host leads. The append is conditional on no other claim since, so of
+// several hosts that detect the loss at the same time only one succeeds. A host that
+// reads a new claim while it still checks the old leader must not claim after the new
+// one: each such claim would force another change of leader, host after host.
 func (e *election) try(ctx context.Context, fence int64) bool {
 	e.mu.Lock()
 	at, now := e.next, e.fence
@@ -384,12 +394,12 @@
 	claim := &record.Claim{Host: e.host.settings.Host, Address: e.host.settings.Control, Incarnation: e.host.incarnation}
 	data, err := proto.Marshal(claim)
 	if err != nil {
-		panic(err) // three strings always encode
+		panic(err) // a message of three strings always encodes
 	}
 	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, At: at})
 	if err != nil {
-		// Without an answer the claim may stand: watchClaims will read it, and
-		// as it names this host without a leadership, it is claimed anew.
+		// Without an answer the claim may be in the log. watchClaims reads it then, and
+		// because it names this host, which does not lead, leaderGone makes it claim again.
 		e.host.log.WithError(err).WithField("after_fence", fence).Info("lead not claimed")
 		if platform.Moved(err) {
 			e.readNow(ctx)
@@ -401,20 +411,22 @@
 	return true
 }
 
-// readNow reads the claims at once: watchClaims may be waiting for an answer that is lost.
+// readNow reads the claims at once, because watchClaims may be waiting for an answer
+// that is lost.
 func (e *election) readNow(ctx context.Context) {
 	e.mu.Lock()
 	from := e.next
 	e.mu.Unlock()
 	b, err := e.host.client.ReadLog(ctx, claimTimeout, platform.Read{Topic: topicClaims, From: from})
 	if err != nil {
-		e.host.log.WithError(err).Debug("claims not read; they are watched as well")
+		e.host.log.WithError(err).Debug("cannot read claims; leaving it to the claims watch")
 		return
 	}
 	e.took(from, b.Records, b.End)
 }
 
-// begin leads in the background until another host takes over.
+// begin starts the leader with the given fencing token in the background. It runs
+// until another host takes over or ctx ends.
 func (e *election) begin(ctx context.Context, fence int64) {
 	l := leader.New(e.host.leaderConfig(fence))
 	e.mu.Lock()
@@ -433,8 +445,8 @@
 	})
 }
 
-// handOver asks helpers to take over until one has claimed. A helper that does
-// not reach the log refuses.
+// handOver asks helpers one after another to take over until one has claimed. A
+// helper that does not reach the log refuses.
 func (e *election) handOver(ctx context.Context) {
 	e.mu.Lock()
 	leads, fence := e.lead != nil, e.leadFence
@@ -444,8 +456,8 @@
 	}
 	successors := e.host.helpers.successors()
 	if !e.host.stopping.Load() {
-		// If none of these reaches the log, it is hardly this host alone that it turns away,
-		// and a weaker one would lead worse when it is back.
+		// If none of these reaches the log, it is probably unreachable for all hosts, and
+		// a smaller host would be a worse leader once the log is back.
 		successors = successors[:min(len(successors), successorsNamed)]
 	}
 	for _, p := range successors {
@@ -457,5 +469,5 @@
 			return
 		}
 	}
-	e.host.log.WithField("fence", fence).Info("nobody to hand over to")
+	e.host.log.WithField("fence", fence).Info("no host took over the leadership")
 }
--- a/host/front.go
+++ b/host/front.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	// patience is how long a caller is believed to wait if it does not say.
+	// patience is the deadline of a request that does not set one.
 	patience = 3 * time.Second
-	// answerMargin is left of a caller's deadline for the answer to reach it.
+	// answerMargin is the part of a caller's deadline that is reserved for delivering
+	// the answer.
 	answerMargin = 100 * time.Millisecond
-	// logPatience is how long the log may take before other hosts are asked to
-	// write too. It answers within some 10 ms, and within half a second when it
-	// is slow for everyone.
+	// logPatience is how long an append may take before other hosts are asked to make
+	// it as well, as a hedged request. The log answers within some 10 ms, and within
+	// half a second when it is slow for everyone.
 	logPatience = 250 * time.Millisecond
-	// askTimeout bounds one question to the leader; the caller asks again.
+	// askTimeout bounds one call to the leader; the call is repeated.
 	askTimeout = 700 * time.Millisecond
-	// askTimeoutUnready is the same at a host that is not ready: the leader may be out
-	// of its reach, and the caller is to go to another host soon.
+	// askTimeoutUnready is the same at a host that is not ready: the leader may be
+	// unreachable from it, and the caller should retry at another host soon.
 	askTimeoutUnready = 150 * time.Millisecond
-	// leaderPatience is how long a question waits for somebody to lead: a successor
-	// leads within a second, and a caller that is sent away comes back in one at the
-	// earliest.
+	// leaderPatience is how long a request waits for a leader: a successor leads
+	// within a second, and a refused caller retries after a second at the earliest.
 	leaderPatience = time.Second
-	// leaderLook is the pause between two looks whether somebody leads.
+	// leaderLook is the pause between two attempts to ask the leader.
 	leaderLook = 50 * time.Millisecond
-	// revocationMargin is taken off the time within which a withdrawn key must
-	// stop working: a request that passes the check is answered within it.
+	// revocationMargin is subtracted from the time within which a withdrawn key must
+	// stop working: a request that passes the key check is answered within it.
 	revocationMargin = 1500 * time.Millisecond
-	// defaultBodyBytes bounds a submission where the configuration does not: a spec
-	// of 4,000 bytes and some thousand steps.
+	// defaultBodyBytes bounds the body of a submission if the configuration sets no
+	// limit. It has room for a spec of 4,000 bytes and some thousand steps.
 	defaultBodyBytes = 1 << 20
-	// retrySoon is the Retry-After, in seconds, of a refusal that another host
-	// or a moment mends.
+	// retrySoon is the Retry-After, in seconds, of a refusal that is temporary or
+	// specific to this host.
 	retrySoon = 1
 )
 
@@ -60,21 +60,21 @@
 	region.StateCancelled: platform.StateCancelled,
 }
 
-// call is one request of a caller on its way through the filters.
+// call is one request of a caller.
 type call struct {
 	host     *Host
 	w        http.ResponseWriter
 	r        *http.Request
 	config   *model.Config
 	queue    *model.Queue
-	job      string // id, "" if the path names the queue itself
-	owner    string // workspace of the key
+	job      string // job id; "" if the path names the queue itself
+	owner    string // workspace of the key; "" in a public queue
 	deadline time.Duration
 	cancel   context.CancelFunc
 	ctx      context.Context
 }
 
-// front answers callers.
+// front handles a request of a caller.
 func (h *Host) front(w http.ResponseWriter, r *http.Request) {
 	c := &call{host: h, w: w, r: r}
 	c.deadline = platform.DeadlineOf(r.Header)
@@ -100,8 +100,8 @@
 	}
 }
 
-// admit finds the queue and checks the key. It answers and reports false if the
-// request goes no further.
+// admit finds the queue of the request and checks its key. If the request is not
+// admitted, it answers it and reports false.
 func (c *call) admit() bool {
 	c.config = c.host.config.Config()
 	if c.config == nil {
@@ -125,8 +125,8 @@
 	if !ok {
 		return c.unconfigured(http.StatusUnauthorized)
 	}
-	// A host that cannot show that its configuration was the newest a moment
-	// ago may not know that the key was withdrawn.
+	// A host whose configuration has not been confirmed as the newest recently may
+	// not know that the key was withdrawn.
 	if c.host.settings.StrictRevocation && c.host.config.Age() > c.host.settings.KeyRevocation-revocationMargin {
 		c.refuse("configuration is not confirmed")
 		return false
@@ -134,8 +134,9 @@
 	return true
 }
 
-// unconfigured answers a request that the configuration does not allow, if that
-// is certain: a host that has not heard of the newest one may be wrong.
+// unconfigured answers a request that the configuration does not allow with status.
+// If the configuration is not confirmed, a newer one may allow the request, and the
+// answer is a refusal instead. It always reports false.
 func (c *call) unconfigured(status int) bool {
 	if c.host.config.Age() > c.host.settings.ConfigApply {
 		c.refuse("configuration is not confirmed")
@@ -152,7 +153,8 @@
 	return host
 }
 
-// refuse answers that the request was not run and when to come back.
+// refuse answers with 503 and a Retry-After: the request had no effect and may be
+// retried. why is a label of the refusals metric.
 func (c *call) refuse(why string) {
 	c.host.metrics.Tagged(map[string]string{"why": why}).Counter("refusals").Inc(1)
 	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.Age().Milliseconds()}).
@@ -171,12 +173,12 @@
 	}
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(status)
-	// A caller that left before its answer shows here; there is nobody to tell.
+	// An error means that the caller has gone, so it needs no handling.
 	_, _ = c.w.Write(body)
 }
 
-// submit keeps the job in the log, then answers: whatever was accepted survives
-// the loss of every host.
+// submit appends the job to the log, then answers: an accepted job survives the loss
+// of every host.
 func (c *call) submit() {
 	began := boottime.Now()
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, cmp.Or(c.config.Limits.MaxBodyBytes, defaultBodyBytes)))
@@ -206,21 +208,23 @@
 	c.answerKept(outcome)
 }
 
-// outcome is what became of a record.
+// outcome is the result of an append to the intake. Its values correspond to
+// hostrpc.KeepOutcome.
 type outcome int
 
 const (
 	kept    outcome = iota
-	notKept         // certainly not, and never will be
-	unknown         // it may be kept
+	notKept         // certainly not in the log, and never will be
+	unknown         // may be in the log now or later
 )
 
-// keep writes a record to the intake. If the log does not answer soon, other
-// hosts are asked to write it as well; a record that comes twice counts once.
+// keep appends a record to the intake and notifies the leader of it. If the log does
+// not answer soon, other hosts are asked to append it as well; a record that is
+// appended twice counts once.
 func (c *call) keep(r *record.Intake) outcome {
 	data, err := proto.Marshal(r)
 	if err != nil {
-		c.host.log.WithError(err).WithField("job", c.job).Error("record cannot be encoded")
+		c.host.log.WithError(err).WithField("job", c.job).Error("cannot encode a record of the intake")
 		return notKept
 	}
 	o := c.keepData(data)
@@ -232,7 +236,7 @@
 
 func (c *call) keepData(data []byte) outcome {
 	if !c.host.intake.Healthy() && !c.host.config.PeerContact() {
-		// Neither the log nor a host that reaches it: nothing was written.
+		// Neither the log nor a host that reaches it can be reached: nothing was sent.
 		return notKept
 	}
 	done := make(chan struct{})
@@ -251,13 +255,13 @@
 	}
 	switch {
 	case byPeers == kept:
-		p.Withdraw() // one record is enough, but two do no harm
+		p.Withdraw() // if this fails, the duplicate does no harm
 		return kept
 	case p.Withdraw():
 		return byPeers
 	}
-	// The record is in a call that the writer repeats until the log answers. A
-	// caller of a host that is cut off does better to ask another one meanwhile.
+	// The writer repeats the call that has the record until the log answers. If this
+	// host becomes isolated meanwhile, answer now, and the caller can retry elsewhere.
 	look := time.NewTicker(readyLook)
 	defer look.Stop()
 	for {
@@ -287,8 +291,9 @@
 	}
 }
 
-// cancelJob keeps the cancellation in the log, then answers. A job that the
-// leader does not know is gone; if nobody can tell, it is cancelled all the same.
+// cancelJob appends the cancellation to the log, then answers. A job that the leader
+// does not know is answered with 410 Gone. If the leader does not answer, the
+// cancellation is appended all the same.
 func (c *call) cancelJob() {
 	if state, ok := c.ask(); ok && state == region.StateUnknown {
 		c.answer(http.StatusGone, nil)
