--- a/host/bench_test.go
+++ b/host/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkJobs is the cost of a job of two tasks, with its caller and the
-// stand-ins of the platform in the same process.
+// BenchmarkJobs measures the cost of a job of two tasks, including its caller and
+// the fake platform in the same process.
 func BenchmarkJobs(b *testing.B) {
 	f := newFleet(b, 2, 24, 20*time.Millisecond)
 	m := f.leader()
--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -9,10 +9,9 @@
 	"github.com/fireflyfold/fireflyfold/leader"
 )
 
-// The log's watches hear nothing of new records for a while, though it takes
-// appends. Jobs that are accepted meanwhile would wait for the leader's next read to
-// bring them, and the urgent ones among them come too late. The host that accepted
-// a job tells the leader of it.
+// The log takes appends, but its waiting reads return no new records for a while. Jobs
+// accepted meanwhile would wait for the leader's next read, and urgent ones would miss
+// their deadlines. The host that accepts a job notifies the leader of it.
 func TestLeaderIsToldOfKeptJobs(t *testing.T) {
 	f := newFleet(t, 2, 2, 50*time.Millisecond)
 	f.store.Hush(leader.TopicIntake, true)
@@ -31,16 +30,16 @@
 	}
 }
 
-// A host reaches neither the log nor any other host: its zone is cut off. A caller
-// who stays with it would be refused for as long as the cut lasts, and a submission
-// would be held to its deadline. The host is not ready, ends its callers'
-// connections, and says at once that it does not know what became of a submission.
+// A host in a zone that is cut off reaches neither the log nor any other host. A caller
+// that stays connected would be refused until the partition heals, and a submission
+// would wait until its deadline. The host must become unready, close its callers'
+// connections, and answer a submission at once with an unknown outcome or a refusal.
 func TestIsolatedHostSendsCallersAway(t *testing.T) {
 	f := newFleet(t, 2, 1, 50*time.Millisecond)
 	first := f.leader()
 	cut := f.otherThan(first)
 	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted before the cut")
+		t.Fatal("submission not accepted before the partition")
 	}
 	cut.door.Silence(true)
 	first.stop()
@@ -61,12 +60,12 @@
 		t.Errorf("submission answered %d", resp.StatusCode)
 	}
 	if !resp.Close {
-		t.Error("the caller's connection is kept")
+		t.Error("the caller's connection was not closed")
 	}
 	if cut.Ready() {
-		t.Error("the host is ready")
+		t.Error("the isolated host is ready")
 	}
 	cut.door.Silence(false)
-	f.until("it leads after the cut", func() bool { return f.leader() == cut })
+	f.until("the host leads after the partition", func() bool { return f.leader() == cut })
 	f.until("the job is completed", func() bool { return f.completed(cut, 1) })
 }
--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// fleet is a few hosts in one process, on stand-ins of the platform.
+// fleet is a region of a few hosts in one process, on a fake platform.
 type fleet struct {
 	t       testing.TB
 	store   *fakeplatform.Store
@@ -25,7 +25,7 @@
 	hosts   []*member
 }
 
-// member is one host with its own way to the log.
+// member is one host with its own access to the log.
 type member struct {
 	*Host
 	door *fakeplatform.Door
@@ -53,7 +53,7 @@
 	return f
 }
 
-// configure writes a version with some keys.
+// configure publishes a configuration with the given version and keys of the workspace ws.
 func (f *fleet) configure(version int, keys ...string) {
 	quoted := make([]string, 0, len(keys))
 	for _, k := range keys {
@@ -64,7 +64,7 @@
 
 func (f *fleet) add(name string) *member { return f.addWith(name, "") }
 
-// addWith adds a host with further settings.
+// addWith adds a host with additional lines of settings.
 func (f *fleet) addWith(name, more string) *member {
 	f.t.Helper()
 	m := &member{door: f.store.Door(), done: make(chan struct{})}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// otherThan returns the host that was added last of those that are not the one given.
+// otherThan returns the most recently added host other than m.
 func (f *fleet) otherThan(m *member) *member {
 	var other *member
 	for _, o := range f.hosts {
@@ -126,17 +126,18 @@
 	return other
 }
 
-// until waits for a condition; the bound only ends a test that has failed.
+// until waits until cond holds, and fails the test after 30 s.
 func (f *fleet) until(what string, cond func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !cond(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// call sends a caller's request to a host.
+// call sends a request to a host as a caller does. It returns the status and body; 0 and
+// "" if there was no complete response.
 func (f *fleet) call(m *member, method, path, key, body string) (int, string) {
 	f.t.Helper()
 	req, err := http.NewRequest(method, "http://"+m.settings.Front+path, bytes.NewReader([]byte(body)))
@@ -167,7 +168,7 @@
 	return status == http.StatusOK && strings.Contains(body, platform.StateCompleted)
 }
 
-// starts sums the starts of each task over all workers.
+// starts returns the number of starts of each task, summed over all workers.
 func (f *fleet) starts() map[string]int {
 	all := make(map[string]int)
 	for _, w := range f.workers {
--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -15,8 +15,8 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// manyHelpers returns the helpers of a region of that many hosts, all alike but for
-// strong ones.
+// manyHelpers returns a list of the given number of helpers. All have the same small
+// capacity, except for those whose indexes are in strong.
 func manyHelpers(hosts int, strong ...int) *helpers {
 	return manyHelpersOf(newHelpers(25e6), hosts, strong...)
 }
@@ -33,8 +33,8 @@
 	return h
 }
 
-// A leader of hundreds of hosts sends all their addresses to each of them several times a
-// second: its link is full of them. What pings cost a leader must not grow with its hosts.
+// A leader of hundreds of hosts that sent all addresses to each of them several times a
+// second would saturate its link. The cost of pings must not grow with the hosts.
 func TestPingsOfManyHosts(t *testing.T) {
 	cost := func(hosts int) (perSecond float64, bytes int) {
 		h := manyHelpers(hosts)
@@ -56,7 +56,8 @@
 	}
 }
 
-// A leader behind a link of 2 Mbit/s spends a fifth of it on pings of eighteen hosts.
+// Without the bound, pings from eighteen hosts took a fifth of a leader's link of
+// 2 Mbit/s.
 func TestPingsOverANarrowLink(t *testing.T) {
 	const linkBps = 250e3
 	h := manyHelpersOf(newHelpers(linkBps), 18)
@@ -67,8 +68,8 @@
 	}
 }
 
-// Every host is told of some others sooner or later, so that it can ask one when the
-// leader is gone.
+// Ping responses must rotate through all addresses. A host needs the address of some
+// other host when the leader is gone.
 func TestAddressesTakeTurns(t *testing.T) {
 	h := manyHelpers(50)
 	told := make(map[string]bool)
@@ -80,12 +81,12 @@
 		}
 	}
 	if len(told) != 50 {
-		t.Errorf("%d of 50 addresses told", len(told))
+		t.Errorf("%d of 50 addresses sent", len(told))
 	}
 }
 
-// A helper that is cut off would be asked for advice until its pings are missed, which in
-// a large region takes seconds.
+// Without removal, an unreachable helper would be asked for advice until its pings are
+// overdue, which takes seconds in a large region.
 func TestHelperThatCannotBeReached(t *testing.T) {
 	h := manyHelpers(3)
 	h.lost("h001")
@@ -98,8 +99,8 @@
 	}
 }
 
-// Strength counts processor, link and memory: of two hosts with the same processor the one
-// with the wider link leads.
+// Capacity covers CPU, link and memory: of two hosts with the same CPU, the one with the
+// wider link leads.
 func TestStrongestComeFirst(t *testing.T) {
 	h := manyHelpers(90, 40, 70)
 	resp := &hostrpc.PingResponse{}
@@ -109,16 +110,16 @@
 	}
 	weak := strength{milliCPU: 200, linkBps: 2e6, memoryMiB: 200}
 	if !h.stronger(weak) || h.stronger(strength{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}) {
-		t.Error("hand-over to a host that is no stronger, or none to one that is")
+		t.Error("hand-over to a host that is no larger, or none to one that is")
 	}
 	if wide := (strength{milliCPU: 200, linkBps: 2e7, memoryMiB: 200}); wide.over(weak) < muchStronger || weak.over(wide) > 1 {
-		t.Error("the width of the link does not count")
+		t.Error("the bandwidth of the link is ignored")
 	}
 }
 
-// Most hosts of a large region are small, and one of them notices first that the leader is
-// gone. It has not the processor or the link to lead, and everything waits until it has
-// handed over. It asks a strong host to claim instead.
+// In a large region most hosts are small, and a small one is likely to detect the loss of
+// the leader first. It lacks the CPU and link to lead, and all work would wait until it has
+// handed over. It must ask a large host to claim instead.
 func TestSmallHostNominates(t *testing.T) {
 	f := newFleet(t, 2, 0, time.Hour)
 	first := f.leader()
@@ -136,12 +137,12 @@
 		t.Error("the small host leads")
 	}
 	if _, fence := strong.election.current(); strong.election.nominate(context.Background(), fence) {
-		t.Error("a host that leads nominates")
+		t.Error("the leader nominated another host")
 	}
 }
 
-// Takeovers follow one another, each new leader being taken for gone before it is heard. The
-// silence that another one needs grows with them, and shrinks when they are long past.
+// Takeovers repeat if each new leader is considered gone before its first entries are
+// read. The election timeout grows with recent takeovers and shrinks again later.
 func TestTakeoversConverge(t *testing.T) {
 	e := newElection(New(platform.Settings{}, telemetry.Discard()))
 	now := time.Hour
@@ -160,15 +161,15 @@
 	}
 	e.claimTimes = append(e.claimTimes, now)
 	if got := e.patience(now); got != last {
-		t.Errorf("%v without a bound", got)
+		t.Errorf("%v after one more takeover, which exceeds the bound", got)
 	}
 	if got := e.patience(now + 2*claimMemory); got != silence {
-		t.Errorf("%v long after, want %v", got, silence)
+		t.Errorf("%v after the claims expired, want %v", got, silence)
 	}
 }
 
-// Guards against a host that is taken for gone because the advice service is slow to answer
-// it: it would be back with its next ping, and be asked as if nothing were known of it.
+// A slow advice service must not remove the host that called it from the helpers: the host
+// would be listed again at its next ping, as a new one without history.
 func TestAdviceOutOfTimeKeepsItsHost(t *testing.T) {
 	timeout := connect.NewError(connect.CodeDeadlineExceeded, context.DeadlineExceeded)
 	gone := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -8,7 +8,7 @@
 	"github.com/fireflyfold/fireflyfold/logwriter"
 )
 
-// A job handed in at one host is done and every host tells so.
+// A job submitted to one host completes, and every host reports its state.
 func TestJobIsDoneAndKnownEverywhere(t *testing.T) {
 	f := newFleet(t, 3, 2, 50*time.Millisecond)
 	if status, _ := f.call(f.hosts[1], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
@@ -25,19 +25,19 @@
 	}
 }
 
-// A caller of another workspace knows a job's id. It can neither read nor cancel
-// the job with its own key.
+// A caller of another workspace that knows a job's id can neither read nor cancel the
+// job with its own key.
 func TestJobsOfOtherWorkspaces(t *testing.T) {
 	f := newFleet(t, 2, 1, 300*time.Millisecond)
 	for _, m := range f.hosts {
-		f.until("the configuration is there", func() bool { return m.config.Config() != nil })
+		f.until("the configuration is read", func() bool { return m.config.Config() != nil })
 	}
 	if status, _ := f.call(f.hosts[0], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted")
+		t.Fatal("submission not accepted")
 	}
 	for _, m := range f.hosts {
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
-			f.until("the other's key finds nothing", func() bool {
+			f.until("the other workspace's key finds no job", func() bool {
 				status, _ := f.call(m, method, jobPath(1), "o1", "")
 				if status == http.StatusOK {
 					t.Fatalf("%s answered %d", method, status)
@@ -49,9 +49,9 @@
 	f.until("the job is completed", func() bool { return f.completed(f.hosts[1], 1) })
 }
 
-// A caller's submission is written to the log, but the log's answer is lost.
-// The host asks again under the same sequence number: the caller gets its
-// answer, the job is in the log once, and it runs once.
+// A submission is appended to the log, but the log's answer is lost. The host repeats
+// the append with the same sequence number: the caller gets its answer, and the job is
+// in the log once and runs once.
 func TestLostAnswerOfAppend(t *testing.T) {
 	f := newFleet(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
@@ -62,7 +62,7 @@
 	}
 	f.until("the job is completed", func() bool { return f.completed(m, 1) })
 	if n := len(f.store.Records("intake")) - before; n != 1 {
-		t.Errorf("%d records of one submission", n)
+		t.Errorf("%d records of one submission, want 1", n)
 	}
 	for task, n := range f.starts() {
 		if n != 1 {
@@ -71,9 +71,9 @@
 	}
 }
 
-// The log turns one host away. A key is withdrawn meanwhile. The host learns of
-// it from another one; were it to trust its own configuration, a request with
-// the withdrawn key would run for as long as the log refuses it.
+// A key is withdrawn while the log refuses one host. That host must learn of it from
+// another host. With its own configuration alone it would run requests with the
+// withdrawn key for as long as the log refuses it.
 func TestKeyWithdrawnWhileLogRefusesHost(t *testing.T) {
 	f := newFleet(t, 3, 1, 50*time.Millisecond)
 	var cut *member
@@ -87,25 +87,25 @@
 		return false
 	})
 	cut.door.Refuse(true)
-	// A read that was under way when the log began to refuse still tells news.
-	f.until("no read of the log is under way", func() bool { return cut.config.LogAge() > 2*configWait })
+	// A read in flight when the log began to refuse may still return the new version.
+	f.until("no read of the log is in flight", func() bool { return cut.config.LogAge() > 2*configWait })
 	f.configure(2, "k1")
 	f.until("the withdrawn key is refused", func() bool {
 		status, _ := f.call(cut, http.MethodGet, jobPath(1), "k2", "")
 		return status == http.StatusUnauthorized
 	})
 	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Errorf("a submission with a good key answered %d at a host that the log refuses", status)
+		t.Errorf("a submission with a valid key answered %d at a host that the log refuses", status)
 	}
 }
 
-// The log turns away every host but one key was withdrawn. A host that can
-// confirm its configuration nowhere refuses all keys in the end, and says that
-// nothing was run.
+// A key may be withdrawn while the log refuses every host. A host that cannot confirm
+// its configuration anywhere must in the end refuse all keys, with the answer that the
+// request was not run.
 func TestUnconfirmedConfigurationRefusesKeys(t *testing.T) {
 	f := newFleet(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
-	f.until("the configuration is there", func() bool { return m.config.Config() != nil })
+	f.until("the configuration is read", func() bool { return m.config.Config() != nil })
 	m.door.Refuse(true)
 	f.until("keys are refused", func() bool {
 		status, _ := f.call(m, http.MethodGet, "/p/", "k1", "")
@@ -113,9 +113,9 @@
 	})
 }
 
-// A leader that another host has replaced goes on sending orders. The worker
-// has seen the successor's fencing token and refuses them: the job that was
-// under way is taken over and runs once.
+// A replaced leader may keep sending orders to workers. A worker that has seen the
+// successor's fencing token refuses them: the successor takes over the running job,
+// and its tasks run once.
 func TestStaleLeaderIsRefused(t *testing.T) {
 	f := newFleet(t, 2, 1, 300*time.Millisecond)
 	first := f.leader()
@@ -141,14 +141,14 @@
 	}
 }
 
-// A worker crashes and is back at once under its old id, with another life. It
-// knows nothing of the tasks that it ran: they start again, and orders carry a
-// higher fencing token than those to the earlier life.
+// A worker crashes and returns at once under its old id, as a new incarnation that does
+// not know its earlier tasks. They must be started again, with a higher fencing token
+// than the earlier incarnation has seen.
 func TestNewLifeUnderOldID(t *testing.T) {
 	f := newFleet(t, 1, 1, 1500*time.Millisecond)
 	m, w := f.hosts[0], f.workers[0]
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted")
+		t.Fatal("submission not accepted")
 	}
 	f.until("the job runs", func() bool { return len(f.starts()) == 2 })
 	old := w.Fence()
@@ -163,13 +163,13 @@
 		return again == 2
 	})
 	if w.Fence() <= old {
-		t.Errorf("fencing token %d in the new life, %d in the old one", w.Fence(), old)
+		t.Errorf("fencing token %d in the new incarnation, %d in the old one", w.Fence(), old)
 	}
 	f.until("the job is completed", func() bool { return f.completed(m, 1) })
 }
 
-// A leader is stopped as planned while jobs run and come. Another host leads
-// before it is gone, no caller sees a broken answer, and nothing runs twice.
+// A leader is stopped as planned while jobs run and arrive. Another host leads before
+// the process ends, every submission is accepted, and no task runs twice.
 func TestPlannedStopOfLeader(t *testing.T) {
 	f := newFleet(t, 3, 2, 100*time.Millisecond)
 	first := f.leader()
@@ -185,7 +185,7 @@
 	}
 	<-first.done
 	if n := len(f.store.Records("claims")); n < 2 {
-		t.Errorf("%d claims when the leader is gone: it handed over to nobody", n)
+		t.Errorf("%d claims after the leader stopped, want at least 2: no host took over", n)
 	}
 	f.until("another host leads", func() bool { l := f.leader(); return l != nil && l != first })
 	for n := range 40 {
@@ -198,15 +198,15 @@
 	}
 }
 
-// The log is slow for everyone when the leader is stopped as planned, so that the
-// last append of every other host ran out of time. A host that took its own
-// lost append for a lost log would refuse to take over, and callers' work would
-// wait for seconds until somebody noticed that nobody leads.
+// The log is slow for everyone when the leader is stopped as planned, and the newest
+// append of every other host has timed out. If such a host took its time-out for an
+// unreachable log, it would refuse to take over, and jobs would wait for seconds until
+// a host detected that there is no leader.
 func TestPlannedStopWhileTheLogIsSlow(t *testing.T) {
 	f := newFleet(t, 3, 2, 100*time.Millisecond)
 	first := f.leader()
 	f.until("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
-	const answerTime = 500 * time.Millisecond // longer than a log that was quick so far may be quiet
+	const answerTime = 500 * time.Millisecond // longer than a log that was fast before may take without counting as unhealthy
 	for _, m := range f.hosts {
 		m.door.Slow(answerTime)
 	}
@@ -215,30 +215,30 @@
 			continue
 		}
 		m.intake.Write([]byte{}, func(logwriter.Kept) {})
-		f.until("its append runs out of time", func() bool { return !m.intake.Healthy() })
+		f.until("its append times out", func() bool { return !m.intake.Healthy() })
 	}
 	first.stop()
 	<-first.done
 	if n := len(f.store.Records("claims")); n < 2 {
-		t.Errorf("%d claims when the leader is gone: it handed over to nobody", n)
+		t.Errorf("%d claims after the leader stopped, want at least 2: no host took over", n)
 	}
 }
 
-// Some partitions of the log are down while others work. A leader that stuck to
-// the partition of its entries could start nothing, and each host that took over
-// would be stuck alike; submissions would wait as well. Both go on in the next
-// partition, and a later leader reads the entries in the order they were written.
+// One partition of the log is down while others work. A leader that used only one
+// partition could start no tasks, any successor would have the same problem, and
+// submissions would wait too. Both must continue in the next partition, and a later
+// leader must read the entries in the order they were written.
 func TestPartitionDown(t *testing.T) {
 	f := newFleet(t, 2, 1, 50*time.Millisecond)
 	m := f.leader()
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted")
+		t.Fatal("submission not accepted")
 	}
 	f.until("the job is completed", func() bool { return f.completed(m, 1) })
 	f.store.Break("entries", 0, true)
 	f.store.Break("intake", 0, true)
 	if status, _ := f.call(m, http.MethodPost, jobPath(2), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted with a partition down")
+		t.Fatal("submission not accepted with a partition down")
 	}
 	f.until("the job is completed with a partition down", func() bool { return f.completed(m, 2) })
 	f.store.Break("entries", 0, false)
@@ -259,14 +259,14 @@
 	}
 }
 
-// Hosts have unequal processors and a weak one came first. A strong one joins:
-// it leads before long, as the leader's processor decides how soon work starts.
+// A larger host joins a region that a smaller one leads. The leadership must move to it,
+// because the leader's CPU determines how soon tasks start.
 func TestStrongestHostLeads(t *testing.T) {
 	f := newFleet(t, 1, 1, 50*time.Millisecond)
 	strong := f.addWith("strong", "limits.cpuShare=4\n")
 	f.until("the strong host leads", func() bool { return f.leader() == strong })
 	if status, _ := f.call(f.hosts[0], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted")
+		t.Fatal("submission not accepted")
 	}
 	f.until("the job is completed", func() bool { return f.completed(strong, 1) })
 }
