--- a/host/election.go
+++ b/host/election.go
@@ -141,7 +141,7 @@
 			return
 		}
 		if !tries.Ended(err) {
-			boottime.Sleep(ctx, configRetry)
+			boottime.Sleep(ctx, readRetryDelay)
 			continue
 		}
 		e.took(from, b.Records, b.End)
--- a/host/front.go
+++ b/host/front.go
@@ -127,7 +127,7 @@
 	}
 	// A host whose configuration has not been confirmed as the newest recently may
 	// not know that the key was withdrawn.
-	if c.host.settings.StrictRevocation && c.host.config.Age() > c.host.settings.KeyRevocation-revocationMargin {
+	if c.host.settings.StrictRevocation && c.host.config.ConfirmationAge() > c.host.settings.KeyRevocation-revocationMargin {
 		c.refuse("configuration is not confirmed")
 		return false
 	}
@@ -138,7 +138,7 @@
 // If the configuration is not confirmed, a newer one may allow the request, and the
 // answer is a refusal instead. It always reports false.
 func (c *call) unconfigured(status int) bool {
-	if c.host.config.Age() > c.host.settings.ConfigApply {
+	if c.host.config.ConfirmationAge() > c.host.settings.ConfigApply {
 		c.refuse("configuration is not confirmed")
 		return false
 	}
@@ -157,7 +157,7 @@
 // retried. why is a label of the refusals metric.
 func (c *call) refuse(why string) {
 	c.host.metrics.Tagged(map[string]string{"why": why}).Counter("refusals").Inc(1)
-	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.Age().Milliseconds()}).
+	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds()}).
 		Info("refused")
 	c.w.Header().Set("Retry-After", strconv.Itoa(retrySoon))
 	c.answer(http.StatusServiceUnavailable, nil)
@@ -202,7 +202,7 @@
 	c.host.metrics.Timer("submission_seconds").Record(boottime.Now() - began)
 	if outcome == kept {
 		c.host.log.WithFields(logrus.Fields{"job": c.job, "queue": job.Queue, "workspace": job.Workspace,
-			"config": c.config.Version, "config_age_ms": c.host.config.Age().Milliseconds(),
+			"config": c.config.Version, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds(),
 			"ms": (boottime.Now() - began).Milliseconds()}).Info("accepted")
 	}
 	c.answerKept(outcome)
@@ -235,7 +235,7 @@
 }
 
 func (c *call) keepData(data []byte) outcome {
-	if !c.host.intake.Healthy() && !c.host.config.PeerContact() {
+	if !c.host.intake.Healthy() && !c.host.config.PeerConfirmed() {
 		// Neither the log nor a host that reaches it can be reached: nothing was sent.
 		return notKept
 	}
--- a/host/host.go
+++ b/host/host.go
@@ -86,10 +86,10 @@
 	}
 	h.work, h.endWork = context.WithCancel(context.Background())
 	h.config = &configWatch{client: client, log: h.log}
-	h.config.peers = h.configOfPeers
-	h.config.logAt.Store(int64(boottime.Now() - time.Hour))
-	h.config.peerAt.Store(int64(boottime.Now() - time.Hour))
-	h.config.provenAt.Store(int64(boottime.Now() - time.Hour))
+	h.config.fetchFromPeers = h.configOfPeers
+	h.config.logReadAt.Store(int64(boottime.Now() - time.Hour))
+	h.config.peerConfirmedAt.Store(int64(boottime.Now() - time.Hour))
+	h.config.confirmedAt.Store(int64(boottime.Now() - time.Hour))
 	h.election = newElection(h)
 	h.intake = logwriter.New(client, logwriter.Target{
 		Topic: leader.TopicIntake, Parts: leader.IntakeParts, Producer: s.Host + "/" + h.incarnation, Epoch: 1, FirstSeq: 1, CallBytes: s.CallBytes,
@@ -171,8 +171,8 @@
 // here or through a peer.
 func (h *Host) Ready() bool {
 	return !h.stopping.Load() && h.config.Config() != nil &&
-		h.config.Age() < h.settings.KeyRevocation-revocationMargin && !h.isolated() &&
-		(h.intake.Healthy() || h.config.PeerContact())
+		h.config.ConfirmationAge() < h.settings.KeyRevocation-revocationMargin && !h.isolated() &&
+		(h.intake.Healthy() || h.config.PeerConfirmed())
 }
 
 // listen opens the three ports. The callers' port is opened last, when the other
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -88,7 +88,7 @@
 	})
 	cut.door.Refuse(true)
 	// A read in flight when the log began to refuse may still return the new version.
-	f.until("no read of the log is in flight", func() bool { return cut.config.LogAge() > 2*configWait })
+	f.until("no read of the log is in flight", func() bool { return cut.config.LogReadAge() > 2*configWait })
 	f.configure(2, "k1")
 	f.until("the withdrawn key is refused", func() bool {
 		status, _ := f.call(cut, http.MethodGet, jobPath(1), "k2", "")
@@ -109,7 +109,7 @@
 	m.door.Refuse(true)
 	f.until("keys are refused", func() bool {
 		status, _ := f.call(m, http.MethodGet, "/p/", "k1", "")
-		return status == http.StatusServiceUnavailable && m.config.Age() > m.settings.KeyRevocation-revocationMargin
+		return status == http.StatusServiceUnavailable && m.config.ConfirmationAge() > m.settings.KeyRevocation-revocationMargin
 	})
 }
 
--- a/host/peers.go
+++ b/host/peers.go
@@ -125,11 +125,11 @@
 // configuration, and the configuration itself if it is newer than the caller's. It
 // answers UNAVAILABLE if this host has none.
 func (h *Host) Config(_ context.Context, req *connect.Request[hostrpc.ConfigRequest]) (*connect.Response[hostrpc.ConfigResponse], error) {
-	config, raw := h.config.Config(), h.config.raw.Load()
+	config, raw := h.config.Config(), h.config.rawConfig.Load()
 	if config == nil || raw == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
 	}
-	resp := &hostrpc.ConfigResponse{Version: config.Version, AgeMs: h.config.Age().Milliseconds()}
+	resp := &hostrpc.ConfigResponse{Version: config.Version, AgeMs: h.config.ConfirmationAge().Milliseconds()}
 	if config.Version > req.Msg.Version {
 		resp.Config = *raw
 	}
@@ -183,7 +183,7 @@
 	// An unanswered append by this host does not count against it: if the log is slow
 	// for everyone, every helper would refuse and the region would have no leader for
 	// seconds. The reads here and the claim itself show whether the log is reachable.
-	if h.config.LogAge() > logContactLife || !h.election.watcher.Reachable(ctx) {
+	if h.config.LogReadAge() > logContactLife || !h.election.watcher.Reachable(ctx) {
 		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
 	}
 	h.log.WithField("fence", req.Msg.Fence).Info("asked to take over")
