--- a/host/ask.go
+++ b/host/ask.go
@@ -56,10 +56,10 @@
 }
 
 func (c *call) askLeader() (state region.State, workspace string, ok bool) {
-	if l := c.host.election.leading(); l != nil {
+	if l := c.host.election.localLeader(); l != nil {
 		return l.State(c.job)
 	}
-	claim, _ := c.host.election.current()
+	claim, _ := c.host.election.newestClaim()
 	if claim == nil || c.host.isolated() {
 		return region.StateUnknown, "", false
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return region.StateUnknown, "", false
 	}
-	c.host.contact.heard()
+	c.host.peerContact.succeeded()
 	return region.State(resp.Msg.State), resp.Msg.Workspace, true
 }
 
@@ -84,10 +84,10 @@
 }
 
 func (c *call) askPending() (int64, bool) {
-	if l := c.host.election.leading(); l != nil {
+	if l := c.host.election.localLeader(); l != nil {
 		return l.Pending(c.queue.Name)
 	}
-	claim, _ := c.host.election.current()
+	claim, _ := c.host.election.newestClaim()
 	if claim == nil {
 		return 0, false
 	}
--- a/host/configwatch.go
+++ b/host/configwatch.go
@@ -33,15 +33,15 @@
 	client *platform.Client
 	log    *logrus.Entry
 
-	config   atomic.Pointer[model.Config]
-	rawConfig      atomic.Pointer[[]byte] // encoded form of config, as the platform wrote it
-	fetchFromPeers    func(ctx context.Context, have int64) (peerConfig, error)
-	peerConfirmedAt   atomic.Int64 // when a peer last confirmed the configuration
-	confirmedAt atomic.Int64 // send time of the newest read, here or at a peer, that confirmed config
-	logReadAt    atomic.Int64 // send time of this host's own newest successful read of the log
-	nextOffset     int64        // offset of the next record to read
+	config          atomic.Pointer[model.Config]
+	rawConfig       atomic.Pointer[[]byte] // encoded form of config, as the platform wrote it
+	fetchFromPeers  func(ctx context.Context, have int64) (peerConfig, error)
+	peerConfirmedAt atomic.Int64 // when a peer last confirmed the configuration
+	confirmedAt     atomic.Int64 // send time of the newest read, here or at a peer, that confirmed config
+	logReadAt       atomic.Int64 // send time of this host's own newest successful read of the log
+	nextOffset      int64        // offset of the next record to read
 	snapshotRead    bool         // the newest record of each key has been read
-	logLost     bool         // the newest read of the log failed; used by run only
+	logLost         bool         // the newest read of the log failed; used by run only
 }
 
 // Config returns the newest configuration known, or nil if there is none yet.
@@ -90,7 +90,7 @@
 	sent := boottime.Now()
 	got, err := c.fetchFromPeers(ctx, have)
 	if err != nil {
-		return // the failed read of the log is logged already, and Age shows the rest
+		return // the failed read of the log is logged already, and the age of the confirmation shows the rest
 	}
 	if len(got.raw) > 0 {
 		c.apply(platform.KeyConfig, got.raw)
@@ -107,7 +107,7 @@
 }
 
 // PeerConfirmed reports whether another host that reaches the log has confirmed the
-// configuration within peerContactLife.
+// configuration within peerConfirmationMaxAge.
 func (c *configWatch) PeerConfirmed() bool {
 	return boottime.Now()-time.Duration(c.peerConfirmedAt.Load()) < peerConfirmationMaxAge
 }
--- a/host/contact.go
+++ b/host/contact.go
@@ -12,22 +12,22 @@
 const (
 	// isolatedAfter is how long calls to other hosts must have failed without any
 	// response before this host counts as isolated: by then a second ping has failed.
-	isolatedAfter = pingEvery
-	// readyLook is the interval between readiness checks. It is short compared with
-	// the balancer's interval of a second.
-	readyLook = 50 * time.Millisecond
+	isolatedAfter = minPingInterval
+	// readinessCheckInterval is the interval between readiness checks. It is short
+	// compared with the balancer's interval of a second.
+	readinessCheckInterval = 50 * time.Millisecond
 )
 
-// contact records since when calls to other hosts have failed.
-type contact struct{ failedAt atomic.Int64 } // 0 if the newest call was answered
+// peerContact records since when calls to other hosts have failed.
+type peerContact struct{ failedAt atomic.Int64 } // 0 if the newest call was answered
 
-func (c *contact) heard() { c.failedAt.Store(0) }
+func (c *peerContact) succeeded() { c.failedAt.Store(0) }
 
-func (c *contact) failed() { c.failedAt.CompareAndSwap(0, int64(boottime.Now())) }
+func (c *peerContact) failed() { c.failedAt.CompareAndSwap(0, int64(boottime.Now())) }
 
-// lostFor returns how long calls to other hosts have failed; 0 if the newest call
+// failingFor returns how long calls to other hosts have failed; 0 if the newest call
 // was answered.
-func (c *contact) lostFor() time.Duration {
+func (c *peerContact) failingFor() time.Duration {
 	at := c.failedAt.Load()
 	if at == 0 {
 		return 0
@@ -38,19 +38,19 @@
 // isolated reports whether this host reaches neither the log nor any other host. It
 // cannot serve any request then, so requests fail at once instead of waiting.
 func (h *Host) isolated() bool {
-	return !h.intake.Healthy() && h.election.leading() == nil && h.contact.lostFor() > isolatedAfter
+	return !h.intake.Healthy() && h.election.localLeader() == nil && h.peerContact.failingFor() > isolatedAfter
 }
 
-// sendCallersAway disables keep-alives on the callers' server while this host is
+// syncKeepAlives disables keep-alives on the callers' server while this host is
 // not ready and enables them again afterwards.
 //
 // It guards against callers that stay connected to a host in a zone that is cut off:
 // the balancer picks another host only for a new connection, so requests on an open
 // one are refused until the partition heals. A server without keep-alives closes
 // idle connections at once and busy ones after their response.
-func (h *Host) sendCallersAway(ctx context.Context, front *http.Server) {
+func (h *Host) syncKeepAlives(ctx context.Context, front *http.Server) {
 	ready := true
-	for boottime.Sleep(ctx, readyLook) {
+	for boottime.Sleep(ctx, readinessCheckInterval) {
 		if now := h.Ready(); now != ready {
 			ready = now
 			front.SetKeepAlivesEnabled(ready)
--- a/host/election.go
+++ b/host/election.go
@@ -30,92 +30,94 @@
 	claimsWait = 5 * time.Second
 	// claimTimeout bounds the append of a claim, and a read in addition to its wait.
 	claimTimeout = 900 * time.Millisecond
-	// mostPingPause bounds the ping interval that a leader may ask for.
-	mostPingPause = 10 * time.Second
-	// pingJitter bounds the jitter: an interval is shortened by up to 1/pingJitter of it.
-	pingJitter = 4
+	// maxPingInterval bounds the ping interval that a leader may ask for.
+	maxPingInterval = 10 * time.Second
+	// pingJitterDivisor bounds the jitter of pings: an interval is shortened by up to
+	// 1/pingJitterDivisor of it.
+	pingJitterDivisor = 4
 	// pingTimeout bounds a ping. A busy host answers within some 100 ms. A leader that
 	// takes longer is not replaced while its entries in the log grow.
 	pingTimeout = 200 * time.Millisecond
-	// silence is how long the log must show no new entry of the leader before another
-	// host takes over; package leader adds the time that the log takes to answer. A
-	// leader appends every 100 ms, and a process that gets no CPU time may pause for
-	// most of this time.
-	silence = 350 * time.Millisecond
-	// staleLead is how long a leader may get no answer from the log before it asks
+	// baseElectionTimeout is how long the log must show no new entry of the leader
+	// before another host takes over; package leader adds the time that the log takes
+	// to answer. A leader appends every 100 ms, and a process that gets no CPU time may
+	// pause for most of this time.
+	baseElectionTimeout = 350 * time.Millisecond
+	// leaderLogTimeout is how long a leader may get no answer from the log before it asks
 	// other hosts to take over, and before they check the log themselves. It is longer
 	// than an append takes when the log is slow for everyone.
-	staleLead = 900 * time.Millisecond
-	// refusedLead is how long the log may refuse every append of a leader before the
-	// leader asks other hosts to take over. Refusals come at once, however slow the
-	// log is, so this can be shorter.
-	refusedLead = 250 * time.Millisecond
-	// closedSilence replaces the longer time if the leader's port refuses connections:
-	// its process has ended, unless a network partition causes the refusal.
-	closedSilence = 200 * time.Millisecond
+	leaderLogTimeout = 900 * time.Millisecond
+	// leaderRefusedTimeout is how long the log may refuse every append of a leader
+	// before the leader asks other hosts to take over. Refusals come at once, however
+	// slow the log is, so this is shorter than leaderLogTimeout.
+	leaderRefusedTimeout = 250 * time.Millisecond
+	// closedPortElectionTimeout replaces baseElectionTimeout if the leader's port
+	// refuses connections: its process has ended, unless a network partition causes the
+	// refusal.
+	closedPortElectionTimeout = 200 * time.Millisecond
 	// handOverTimeout bounds a call that asks a helper to claim.
 	handOverTimeout = claimTimeout + 300*time.Millisecond
-	// jitter spreads the claims of hosts that detect the loss at the same time.
-	jitter = 20 * time.Millisecond
-	// weakDelay is the delay of a claim by a host with hardly any CPU, relative to a
-	// host with a whole core. It lets the larger host win.
-	weakDelay = 50 * time.Millisecond
-	// settleTime is the shortest time that a host leads before it hands over to a
+	// claimJitter spreads the claims of hosts that detect the loss at the same time.
+	claimJitter = 20 * time.Millisecond
+	// smallHostClaimDelay is the delay of a claim by a host with hardly any CPU,
+	// relative to a host with a whole core. It lets the larger host win.
+	smallHostClaimDelay = 50 * time.Millisecond
+	// minLeadTime is the shortest time that a host leads before it hands over to a
 	// larger one: by then all hosts have pinged it.
-	settleTime = time.Second
+	minLeadTime = time.Second
 	// nominateTimeout bounds the wait for a nominated successor to claim. The
-	// successors are asked one after another, nominateGap apart.
+	// successors are asked one after another, nominateStagger apart.
 	nominateTimeout = 600 * time.Millisecond
-	nominateGap     = 60 * time.Millisecond
-	// muchStronger is the capacity ratio from which another host should lead instead.
+	nominateStagger = 60 * time.Millisecond
+	// handOverRatio is the capacity ratio from which another host should lead instead.
 	// For less, a change of leader, which takes a few tenths of a second, is not
 	// worthwhile.
-	muchStronger = 1.5
-	// claimMemory is how long a claim counts as recent. Each recent claim but the first
-	// doubles the election timeout, up to mostDoublings times.
-	claimMemory   = 20 * time.Second
-	mostDoublings = 3
+	handOverRatio = 1.5
+	// recentClaimWindow is how long a claim counts as recent. Each recent claim but the first
+	// doubles the election timeout, up to maxTimeoutDoublings times.
+	recentClaimWindow   = 20 * time.Second
+	maxTimeoutDoublings = 3
 )
 
 // election tracks the leader and claims the leadership when there is none.
 type election struct {
-	host   *Host
-	mu     sync.Mutex
-	claim  *record.Claim // newest claim read; nil if none
-	fence  int64         // fencing token of claim
-	next   int64         // offset after the newest claim read
-	readOK bool          // the claims have been read to their end
+	host       *Host
+	mu         sync.Mutex
+	claim      *record.Claim // newest claim read; nil if none
+	fence      int64         // fencing token of claim
+	nextOffset int64         // offset after the newest claim read
+	caughtUp   bool          // the claims have been read to their end
 
-	claimTimes []time.Duration // when recent claims were read
+	recentClaims []time.Duration // when recent claims were read
 
-	hosts     []string      // addresses of some hosts, from the leader's newest ping response
-	pingEvery time.Duration // interval that the leader asked for
+	hostAddresses         []string      // addresses of some hosts, from the leader's newest ping response
+	requestedPingInterval time.Duration // interval that the leader asked for
 
-	successors []string // addresses of the preferred successors, from the same response
-	turn       int      // index of the last of hosts that was picked
-	watcher    *leader.Watcher
-	lead       *leader.Leader
-	leadFence  int64         // fencing token of lead
-	claimed    chan struct{} // signals that a claim has been read
+	successors      []string // addresses of the preferred successors, from the same response
+	lastPicked      int      // index of the last of hostAddresses that was picked
+	watcher         *leader.Watcher
+	leadership      *leader.Leader
+	leadershipFence int64         // fencing token of leadership
+	claimRead       chan struct{} // signals that a claim has been read
 }
 
 func newElection(h *Host) *election {
-	return &election{host: h, watcher: leader.NewWatcher(h.client), claimed: make(chan struct{}, 1)}
+	return &election{host: h, watcher: leader.NewWatcher(h.client), claimRead: make(chan struct{}, 1)}
 }
 
-// current returns the newest claim read and its fencing token; nil and 0 if there is
+// newestClaim returns the newest claim read and its fencing token; nil and 0 if there is
 // none.
-func (e *election) current() (*record.Claim, int64) {
+func (e *election) newestClaim() (*record.Claim, int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.claim, e.fence
 }
 
-// leading returns the leader that runs on this host, or nil if it does not lead.
-func (e *election) leading() *leader.Leader {
+// localLeader returns the leader that runs on this host, or nil if it does not lead.
+func (e *election) localLeader() *leader.Leader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.lead
+	return e.leadership
 }
 
 // watchClaims reads new claims from the log until ctx ends.
@@ -123,9 +125,9 @@
 	tries := telemetry.Repeated{Name: "claim_reads", What: "reading claims", Log: e.host.log, Metrics: e.host.metrics}
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		from := e.next
+		from := e.nextOffset
 		wait := claimsWait
-		if !e.readOK {
+		if !e.caughtUp {
 			wait = 0
 		}
 		e.mu.Unlock()
@@ -133,7 +135,7 @@
 		var expired *platform.ExpiredError
 		if errors.As(err, &expired) {
 			e.mu.Lock()
-			e.next = expired.First
+			e.nextOffset = expired.First
 			e.mu.Unlock()
 			continue
 		}
@@ -144,41 +146,41 @@
 			boottime.Sleep(ctx, readRetryDelay)
 			continue
 		}
-		e.took(from, b.Records, b.End)
+		e.applyClaims(from, b.Records, b.End)
 	}
 }
 
-// took applies claims that were read from the offset from on; end is the offset after
-// the last claim in the log. It ends this host's leadership if a later claim is
-// among them.
-func (e *election) took(from int64, records [][]byte, end int64) {
+// applyClaims applies claims that were read from the offset from on; end is the offset
+// after the last claim in the log. It ends this host's leadership if a later claim
+// is among them.
+func (e *election) applyClaims(from int64, records [][]byte, end int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, data := range records {
 		offset := from + int64(i)
-		if offset < e.next {
+		if offset < e.nextOffset {
 			continue
 		}
-		e.next = offset + 1
+		e.nextOffset = offset + 1
 		c := &record.Claim{}
 		if err := proto.Unmarshal(data, c); err != nil {
 			e.host.log.WithError(err).Error("cannot decode a claim")
 			continue
 		}
 		e.claim, e.fence = c, offset+1
-		if e.readOK {
-			e.claimTimes = append(e.claimTimes, boottime.Now())
+		if e.caughtUp {
+			e.recentClaims = append(e.recentClaims, boottime.Now())
 		}
-		if e.lead != nil && e.leadFence < e.fence {
-			e.lead.Depose(e.fence)
+		if e.leadership != nil && e.leadershipFence < e.fence {
+			e.leadership.Depose(e.fence)
 		}
 		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leadership claim read")
 		select {
-		case e.claimed <- struct{}{}:
+		case e.claimRead <- struct{}{}:
 		default:
 		}
 	}
-	e.readOK = e.next >= end
+	e.caughtUp = e.nextOffset >= end
 }
 
 // run pings the leader and claims the leadership when the leader is gone. A new
@@ -187,41 +189,41 @@
 func (e *election) run(ctx context.Context) {
 	for due := boottime.Now(); ctx.Err() == nil; {
 		if boottime.Now() >= due || !e.host.intake.Healthy() {
-			e.check(ctx)
-			due = boottime.Now() + e.pingPause()
+			e.checkLeadership(ctx)
+			due = boottime.Now() + e.nextPingDelay()
 		}
-		wait := time.NewTimer(min(pingEvery, due-boottime.Now()))
+		wait := time.NewTimer(min(minPingInterval, due-boottime.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
-		case <-e.claimed:
+		case <-e.claimRead:
 			due = 0
 		}
 		wait.Stop()
 	}
 }
 
-// check runs one round: a leader checks whether to hand over, any other host whether
-// the leader is gone.
-func (e *election) check(ctx context.Context) {
+// checkLeadership runs one round: a leader checks whether to hand over, any other host
+// whether the leader is gone.
+func (e *election) checkLeadership(ctx context.Context) {
 	if e.host.stopping.Load() {
 		return
 	}
-	if l := e.leading(); l != nil {
-		if l.LogContactAge() > staleLead || l.LogRefusedFor() > refusedLead {
+	if l := e.localLeader(); l != nil {
+		if l.LogContactAge() > leaderLogTimeout || l.LogRefusedFor() > leaderRefusedTimeout {
 			// The log may be unreachable from this host only.
 			e.handOver(ctx)
-		} else if l.LedFor() > settleTime && e.host.helpers.stronger(e.host.strength()) {
+		} else if l.LedFor() > minLeadTime && e.host.helpers.hasLarger(e.host.capacity()) {
 			e.handOver(ctx)
 		}
 		return
 	}
-	if _, fence := e.current(); e.leaderGone(ctx) {
+	if _, fence := e.newestClaim(); e.leaderGone(ctx) {
 		if e.nominate(ctx, fence) {
 			return
 		}
 		boottime.Sleep(ctx, e.claimDelay())
-		e.try(ctx, fence)
+		e.claimLeadership(ctx, fence)
 	}
 }
 
@@ -232,94 +234,94 @@
 // the leader is likely to be too small to lead.
 func (e *election) nominate(ctx context.Context, fence int64) bool {
 	e.mu.Lock()
-	named := slices.Clone(e.successors)
+	successors := slices.Clone(e.successors)
 	e.mu.Unlock()
-	if slices.Contains(named, e.host.settings.Control) {
+	if slices.Contains(successors, e.host.settings.Control) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, nominateTimeout)
 	var calls conc.WaitGroup
 	defer calls.Wait()
 	defer cancel()
-	took := make(chan bool, len(named))
-	for i, address := range named {
+	accepted := make(chan bool, len(successors))
+	for i, address := range successors {
 		calls.Go(func() {
-			if !boottime.Sleep(ctx, time.Duration(i)*nominateGap) {
-				took <- false
+			if !boottime.Sleep(ctx, time.Duration(i)*nominateStagger) {
+				accepted <- false
 				return
 			}
 			_, err := e.host.peers.helper(address).TakeOver(ctx, newRequest(&hostrpc.TakeOverRequest{Fence: fence}))
 			if err != nil {
 				e.host.log.WithError(err).WithFields(logrus.Fields{"address": address, "fence": fence}).Debug("nominated host did not take over")
 			}
-			took <- err == nil
+			accepted <- err == nil
 		})
 	}
-	for range named {
-		if <-took {
+	for range successors {
+		if <-accepted {
 			return true
 		}
 	}
 	return false
 }
 
-// pingPause returns the time until the next ping. It includes jitter, because hosts
+// nextPingDelay returns the time until the next ping. It includes jitter, because hosts
 // that read a claim at the same time would otherwise keep pinging at the same time.
-func (e *election) pingPause() time.Duration {
+func (e *election) nextPingDelay() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	every := max(e.pingEvery, pingEvery)
-	if e.lead != nil || !e.readOK {
-		every = pingEvery
+	interval := max(e.requestedPingInterval, minPingInterval)
+	if e.leadership != nil || !e.caughtUp {
+		interval = minPingInterval
 	}
-	return every - time.Duration(rand.Int64N(int64(every)/pingJitter))
+	return interval - time.Duration(rand.Int64N(int64(interval)/pingJitterDivisor))
 }
 
 // claimDelay returns how long to wait before a claim: longer for a host with less
 // than a core, plus jitter.
 func (e *election) claimDelay() time.Duration {
 	const core = 1000
-	weakness := 1 - min(float64(e.host.settings.MilliCPU)/core, 1)
-	return time.Duration(weakness*float64(weakDelay)) + time.Duration(rand.Int64N(int64(jitter)))
+	shortfall := 1 - min(float64(e.host.settings.MilliCPU)/core, 1)
+	return time.Duration(shortfall*float64(smallHostClaimDelay)) + time.Duration(rand.Int64N(int64(claimJitter)))
 }
 
 // leaderGone reports whether there is no leader, by the claims, a ping, and in doubt
 // the leader's entries in the log. It reports false until the claims have been read.
 func (e *election) leaderGone(ctx context.Context) bool {
 	e.mu.Lock()
-	claim, ok := e.claim, e.readOK
+	claim, ok := e.claim, e.caughtUp
 	e.mu.Unlock()
 	if !ok {
 		return false
 	}
-	if claim == nil || (claim.Host == e.host.settings.Host && e.leading() == nil) {
+	if claim == nil || (claim.Host == e.host.settings.Host && e.localLeader() == nil) {
 		return true // no claim yet, or the newest is this host's own and no longer led
 	}
 	switch e.ping(ctx, claim) {
-	case leads:
+	case pingLeading:
 		return false
-	case gone:
+	case pingReplaced:
 		return true
-	case closed:
-		return e.watcher.Silent(ctx, closedSilence)
+	case pingPortClosed:
+		return e.watcher.Silent(ctx, closedPortElectionTimeout)
 	}
-	return e.watcher.Silent(ctx, e.patience(boottime.Now()))
+	return e.watcher.Silent(ctx, e.currentElectionTimeout(boottime.Now()))
 }
 
-// patience returns how long the log must show no new entry before this host takes over
-// from a leader that does not answer. It doubles with each recent takeover. Without
-// that, takeovers would repeat where the appends of a new leader arrive later than the
-// base value allows, such as over a saturated link.
-func (e *election) patience(now time.Duration) time.Duration {
+// currentElectionTimeout returns how long the log must show no new entry before this
+// host takes over from a leader that does not answer. It doubles with each recent
+// takeover. Without that, takeovers would repeat where the appends of a new leader
+// arrive later than baseElectionTimeout allows, such as over a saturated link.
+func (e *election) currentElectionTimeout(now time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.claimTimes = slices.DeleteFunc(e.claimTimes, func(at time.Duration) bool { return now-at > claimMemory })
-	return silence << min(max(len(e.claimTimes)-1, 0), mostDoublings)
+	e.recentClaims = slices.DeleteFunc(e.recentClaims, func(at time.Duration) bool { return now-at > recentClaimWindow })
+	return baseElectionTimeout << min(max(len(e.recentClaims)-1, 0), maxTimeoutDoublings)
 }
 
-// others returns the addresses of up to most other hosts: the leader first, then
-// others in rotation.
-func (e *election) others(most int) []string {
+// otherHosts returns the addresses of up to limit other hosts: the leader first, then
+// further ones in rotation.
+func (e *election) otherHosts(limit int) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []string
@@ -327,69 +329,70 @@
 	if e.claim != nil && e.claim.Address != own {
 		out = append(out, e.claim.Address)
 	}
-	for range e.hosts {
-		e.turn++
-		a := e.hosts[e.turn%len(e.hosts)]
-		if len(out) < most && a != own && (len(out) == 0 || a != out[0]) {
+	for range e.hostAddresses {
+		e.lastPicked++
+		a := e.hostAddresses[e.lastPicked%len(e.hostAddresses)]
+		if len(out) < limit && a != own && (len(out) == 0 || a != out[0]) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// sign is the result of a ping.
-type sign int
+// pingResult is the result of a ping.
+type pingResult int
 
 const (
-	doubtful sign = iota // no answer, not leading (yet), or no recent contact with the log
-	leads
-	closed // its port refuses connections
-	gone   // its process has ended: another incarnation answers
+	pingInconclusive pingResult = iota // no answer, not leading (yet), or no recent contact with the log
+	pingLeading
+	pingPortClosed // its port refuses connections
+	pingReplaced   // its process has ended: another incarnation answers
 )
 
 // ping pings the leader that made the claim and stores the host addresses, successors
 // and ping interval of its response.
-func (e *election) ping(ctx context.Context, claim *record.Claim) sign {
+func (e *election) ping(ctx context.Context, claim *record.Claim) pingResult {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	resp, err := e.host.peers.leader(claim.Address).Ping(ctx, e.host.pingRequest())
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		e.host.contact.failed()
-		return closed
+		e.host.peerContact.failed()
+		return pingPortClosed
 	case err != nil:
-		e.host.contact.failed()
-		return doubtful
+		e.host.peerContact.failed()
+		return pingInconclusive
 	}
-	e.host.contact.heard()
+	e.host.peerContact.succeeded()
 	switch {
 	case resp.Msg.Incarnation != claim.Incarnation:
-		return gone
+		return pingReplaced
 	case !resp.Msg.Leading:
-		return doubtful
+		return pingInconclusive
 	}
 	e.mu.Lock()
-	e.hosts = resp.Msg.Hosts
+	e.hostAddresses = resp.Msg.Hosts
 	e.successors = resp.Msg.Successors
-	e.pingEvery = min(time.Duration(resp.Msg.NextMs)*time.Millisecond, mostPingPause)
+	e.requestedPingInterval = min(time.Duration(resp.Msg.NextMs)*time.Millisecond, maxPingInterval)
 	e.mu.Unlock()
-	if time.Duration(resp.Msg.LogContactMs)*time.Millisecond >= staleLead {
-		return doubtful
+	if time.Duration(resp.Msg.LogContactMs)*time.Millisecond >= leaderLogTimeout {
+		return pingInconclusive
 	}
-	return leads
+	return pingLeading
 }
 
-// try claims the leadership after the leader with the given fencing token, and reports
-// whether this host leads. The append is conditional on no other claim since, so of
-// several hosts that detect the loss at the same time only one succeeds. A host that
-// reads a new claim while it still checks the old leader must not claim after the new
-// one: each such claim would force another change of leader, host after host.
-func (e *election) try(ctx context.Context, fence int64) bool {
+// claimLeadership claims the leadership after the leader with the given fencing token,
+// and reports whether this host leads. The append is conditional on no other claim
+// since, so of several hosts that detect the loss at the same time only one succeeds.
+// A host that reads a new claim while it still checks the old leader must not claim
+// after the new one: each such claim would force another change of leader, host after
+// host.
+func (e *election) claimLeadership(ctx context.Context, fence int64) bool {
 	e.mu.Lock()
-	at, now := e.next, e.fence
+	at, newest := e.nextOffset, e.fence
 	e.mu.Unlock()
-	if now != fence || e.leading() != nil {
-		return e.leading() != nil
+	if newest != fence || e.localLeader() != nil {
+		return e.localLeader() != nil
 	}
 	claim := &record.Claim{Host: e.host.settings.Host, Address: e.host.settings.Control, Incarnation: e.host.incarnation}
 	data, err := proto.Marshal(claim)
@@ -402,42 +405,42 @@
 		// because it names this host, which does not lead, leaderGone makes it claim again.
 		e.host.log.WithError(err).WithField("after_fence", fence).Info("lead not claimed")
 		if platform.Moved(err) {
-			e.readNow(ctx)
+			e.readClaims(ctx)
 		}
 		return false
 	}
-	e.took(got.First, [][]byte{data}, got.First+1)
-	e.begin(ctx, got.First+1)
+	e.applyClaims(got.First, [][]byte{data}, got.First+1)
+	e.startLeading(ctx, got.First+1)
 	return true
 }
 
-// readNow reads the claims at once, because watchClaims may be waiting for an answer
+// readClaims reads the claims at once, because watchClaims may be waiting for an answer
 // that is lost.
-func (e *election) readNow(ctx context.Context) {
+func (e *election) readClaims(ctx context.Context) {
 	e.mu.Lock()
-	from := e.next
+	from := e.nextOffset
 	e.mu.Unlock()
 	b, err := e.host.client.ReadLog(ctx, claimTimeout, platform.Read{Topic: topicClaims, From: from})
 	if err != nil {
 		e.host.log.WithError(err).Debug("cannot read claims; leaving it to the claims watch")
 		return
 	}
-	e.took(from, b.Records, b.End)
+	e.applyClaims(from, b.Records, b.End)
 }
 
-// begin starts the leader with the given fencing token in the background. It runs
-// until another host takes over or ctx ends.
-func (e *election) begin(ctx context.Context, fence int64) {
+// startLeading starts the leader with the given fencing token in the background. It
+// runs until another host takes over or ctx ends.
+func (e *election) startLeading(ctx context.Context, fence int64) {
 	l := leader.New(e.host.leaderConfig(fence))
 	e.mu.Lock()
-	e.lead, e.leadFence = l, fence
+	e.leadership, e.leadershipFence = l, fence
 	e.mu.Unlock()
 	e.host.group.Go(func() {
 		began := boottime.Now()
 		err := l.Run(ctx)
 		e.mu.Lock()
-		if e.lead == l {
-			e.lead = nil
+		if e.leadership == l {
+			e.leadership = nil
 		}
 		e.mu.Unlock()
 		e.host.log.WithError(err).WithFields(logrus.Fields{"fence": fence, "led_ms": (boottime.Now() - began).Milliseconds()}).
@@ -449,7 +452,7 @@
 // helper that does not reach the log refuses.
 func (e *election) handOver(ctx context.Context) {
 	e.mu.Lock()
-	leads, fence := e.lead != nil, e.leadFence
+	leads, fence := e.leadership != nil, e.leadershipFence
 	e.mu.Unlock()
 	if !leads {
 		return
@@ -458,7 +461,7 @@
 	if !e.host.stopping.Load() {
 		// If none of these reaches the log, it is probably unreachable for all hosts, and
 		// a smaller host would be a worse leader once the log is back.
-		successors = successors[:min(len(successors), successorsNamed)]
+		successors = successors[:min(len(successors), maxSuccessors)]
 	}
 	for _, p := range successors {
 		callCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -108,7 +108,7 @@
 
 func (f *fleet) leader() *member {
 	for _, m := range f.hosts {
-		if l := m.election.leading(); l != nil && l.Loaded() && !m.stopping.Load() {
+		if l := m.election.localLeader(); l != nil && l.Loaded() && !m.stopping.Load() {
 			return m
 		}
 	}
--- a/host/front.go
+++ b/host/front.go
@@ -198,46 +198,46 @@
 		c.refuse("stopping")
 		return
 	}
-	outcome := c.keep(&record.Intake{Kind: &record.Intake_Submitted{Submitted: job}})
+	outcome := c.appendRecord(&record.Intake{Kind: &record.Intake_Submitted{Submitted: job}})
 	c.host.metrics.Timer("submission_seconds").Record(boottime.Now() - began)
-	if outcome == kept {
+	if outcome == appended {
 		c.host.log.WithFields(logrus.Fields{"job": c.job, "queue": job.Queue, "workspace": job.Workspace,
 			"config": c.config.Version, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds(),
 			"ms": (boottime.Now() - began).Milliseconds()}).Info("accepted")
 	}
-	c.answerKept(outcome)
+	c.answerAppend(outcome)
 }
 
-// outcome is the result of an append to the intake. Its values correspond to
+// appendOutcome is the result of an append to the intake. Its values correspond to
 // hostrpc.KeepOutcome.
-type outcome int
+type appendOutcome int
 
 const (
-	kept    outcome = iota
-	notKept         // certainly not in the log, and never will be
-	unknown         // may be in the log now or later
+	appended      appendOutcome = iota
+	notAppended                 // certainly not in the log, and never will be
+	appendUnknown               // may be in the log now or later
 )
 
-// keep appends a record to the intake and notifies the leader of it. If the log does
+// appendRecord appends a record to the intake and notifies the leader of it. If the log does
 // not answer soon, other hosts are asked to append it as well; a record that is
 // appended twice counts once.
-func (c *call) keep(r *record.Intake) outcome {
+func (c *call) appendRecord(r *record.Intake) appendOutcome {
 	data, err := proto.Marshal(r)
 	if err != nil {
 		c.host.log.WithError(err).WithField("job", c.job).Error("cannot encode a record of the intake")
-		return notKept
+		return notAppended
 	}
-	o := c.keepData(data)
-	if o == kept {
-		c.host.tellLeader(r, data)
+	o := c.appendData(data)
+	if o == appended {
+		c.host.notifyLeader(r, data)
 	}
 	return o
 }
 
-func (c *call) keepData(data []byte) outcome {
+func (c *call) appendData(data []byte) appendOutcome {
 	if !c.host.intake.Healthy() && !c.host.config.PeerConfirmed() {
 		// Neither the log nor a host that reaches it can be reached: nothing was sent.
-		return notKept
+		return notAppended
 	}
 	done := make(chan struct{})
 	p := c.host.intake.Write(data, func(logwriter.Kept) { close(done) })
@@ -245,46 +245,46 @@
 	if !c.host.intake.Healthy() {
 		wait = 0
 	}
-	byPeers := notKept
+	peerOutcome := notAppended
 	select {
 	case <-done:
-		return kept
+		return appended
 	case <-c.ctx.Done():
 	case <-time.After(wait):
-		byPeers = c.host.keepByPeers(c.ctx, data)
+		peerOutcome = c.host.appendThroughPeers(c.ctx, data)
 	}
 	switch {
-	case byPeers == kept:
+	case peerOutcome == appended:
 		p.Withdraw() // if this fails, the duplicate does no harm
-		return kept
+		return appended
 	case p.Withdraw():
-		return byPeers
+		return peerOutcome
 	}
 	// The writer repeats the call that has the record until the log answers. If this
 	// host becomes isolated meanwhile, answer now, and the caller can retry elsewhere.
-	look := time.NewTicker(readyLook)
+	look := time.NewTicker(readinessCheckInterval)
 	defer look.Stop()
 	for {
 		select {
 		case <-done:
-			return kept
+			return appended
 		case <-c.ctx.Done():
-			return unknown
+			return appendUnknown
 		case <-look.C:
 			if c.host.isolated() {
-				return unknown
+				return appendUnknown
 			}
 		}
 	}
 }
 
-func (c *call) answerKept(o outcome) {
+func (c *call) answerAppend(o appendOutcome) {
 	switch o {
-	case kept:
+	case appended:
 		c.answer(http.StatusOK, nil)
-	case notKept:
+	case notAppended:
 		c.refuse("the log did not answer in time")
-	case unknown:
+	case appendUnknown:
 		c.host.metrics.Counter("submissions_unknown").Inc(1)
 		c.host.log.WithField("job", c.job).Warn("outcome unknown: the log did not answer in time")
 		c.answer(http.StatusGatewayTimeout, nil)
@@ -299,9 +299,9 @@
 		c.answer(http.StatusGone, nil)
 		return
 	}
-	o := c.keep(&record.Intake{Kind: &record.Intake_Cancelled{Cancelled: c.job}})
-	if o == kept {
+	o := c.appendRecord(&record.Intake{Kind: &record.Intake_Cancelled{Cancelled: c.job}})
+	if o == appended {
 		c.host.log.WithField("job", c.job).Info("cancellation accepted")
 	}
-	c.answerKept(o)
+	c.answerAppend(o)
 }
--- a/host/helpers.go
+++ b/host/helpers.go
@@ -13,100 +13,100 @@
 )
 
 const (
-	// pingEvery is the shortest interval between a host's pings to the leader. It
+	// minPingInterval is the shortest interval between a host's pings to the leader. It
 	// applies unless the leader has asked for a longer one.
-	pingEvery = 300 * time.Millisecond
-	// mostPings and leastPings bound the pings per second that a leader takes from all
+	minPingInterval = 300 * time.Millisecond
+	// maxPingRate and minPingRate bound the pings per second that a leader takes from all
 	// hosts together. With more hosts each pings less often; the loss of the leader is
 	// still detected in time by one of them.
-	mostPings  = 60
-	leastPings = 8
-	// pingBytes is what a ping and its response take of a leader's link, and pingShare
+	maxPingRate = 60
+	minPingRate = 8
+	// pingBytes is what a ping and its response take of a leader's link, and pingLinkShare
 	// the fraction of the link that all pings may use.
-	pingBytes = 700
-	pingShare = 0.02
-	// helperPings is the number of ping intervals without a ping after which a helper
-	// is dropped, and helperSlack the grace period added to them.
-	helperPings = 3
-	helperSlack = 600 * time.Millisecond
-	// successorsNamed is the largest number of preferred successors that a leader
+	pingBytes     = 700
+	pingLinkShare = 0.02
+	// maxMissedPings is the number of ping intervals without a ping after which a helper
+	// is dropped, and missedPingGrace the grace period added to them.
+	maxMissedPings  = 3
+	missedPingGrace = 600 * time.Millisecond
+	// maxSuccessors is the largest number of preferred successors that a leader
 	// sends to the other hosts.
-	successorsNamed = 4
-	// addressSample is the largest number of host addresses in the response to a ping.
+	maxSuccessors = 4
+	// maxSampledAddresses is the largest number of host addresses in the response to a ping.
 	// With all addresses in each response, traffic would grow with the square of the
 	// number of hosts.
-	addressSample = 6
+	maxSampledAddresses = 6
 )
 
 // helpers tracks the hosts that ping this one while it leads.
 type helpers struct {
-	mu   sync.Mutex
-	seen map[string]*helper
-	turn int // index of the last address sent in a response
-	rate int // pings per second from all hosts together
+	mu       sync.Mutex
+	byName   map[string]*helper
+	lastSent int // index of the last address sent in a response
+	pingRate int // pings per second from all hosts together
 }
 
 type helper struct {
-	name    string
-	address string
-	first   time.Duration // time of the first ping from this incarnation
-	until   time.Duration // when it is dropped unless it pings again
-	inc     string
-	strength
+	name        string
+	address     string
+	firstPing   time.Duration // time of the first ping from this incarnation
+	expiresAt   time.Duration // when it is dropped unless it pings again
+	incarnation string
+	capacity
 	rank float64 // capacity as one number; larger is better
 }
 
 // newHelpers returns an empty list for a leader whose link carries linkBps bytes
 // per second.
 func newHelpers(linkBps int64) *helpers {
-	rate := int(min(pingShare*float64(linkBps)/pingBytes, mostPings))
-	return &helpers{seen: make(map[string]*helper), rate: max(rate, leastPings)}
+	rate := int(min(pingLinkShare*float64(linkBps)/pingBytes, maxPingRate))
+	return &helpers{byName: make(map[string]*helper), pingRate: max(rate, minPingRate)}
 }
 
-func (h *helpers) ping(r *hostrpc.PingRequest) {
+func (h *helpers) recordPing(r *hostrpc.PingRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r.Leaving {
-		delete(h.seen, r.Host)
+		delete(h.byName, r.Host)
 		return
 	}
 	now := boottime.Now()
-	every := h.pingPause()
-	p, ok := h.seen[r.Host]
-	if !ok || p.inc != r.Incarnation {
-		p = &helper{name: r.Host, address: r.Address, first: now, inc: r.Incarnation, strength: strength{r.MilliCpu, r.LinkBps, r.MemoryMib}}
-		p.rank = p.over(strength{})
-		h.seen[r.Host] = p
+	interval := h.pingInterval()
+	p, ok := h.byName[r.Host]
+	if !ok || p.incarnation != r.Incarnation {
+		p = &helper{name: r.Host, address: r.Address, firstPing: now, incarnation: r.Incarnation, capacity: capacity{r.MilliCpu, r.LinkBps, r.MemoryMib}}
+		p.rank = p.ratioTo(capacity{})
+		h.byName[r.Host] = p
 	}
-	p.until = now + helperPings*every + helperSlack
+	p.expiresAt = now + maxMissedPings*interval + missedPingGrace
 }
 
-// pingPause returns the interval at which each host is to ping the leader.
-func (h *helpers) pingPause() time.Duration {
-	return max(pingEvery, time.Duration(len(h.seen))*time.Second/time.Duration(h.rate))
+// pingInterval returns the interval at which each host is to ping the leader.
+func (h *helpers) pingInterval() time.Duration {
+	return max(minPingInterval, time.Duration(len(h.byName))*time.Second/time.Duration(h.pingRate))
 }
 
-// answerPing fills in the response to a ping: the time until the host's next ping,
+// fillPingResponse fills in the response to a ping: the time until the host's next ping,
 // addresses of a few other hosts, and the preferred successors of the leader.
-func (h *helpers) answerPing(resp *hostrpc.PingResponse) {
-	alive, next := h.alive(), h.successors()
-	for _, p := range next[:min(len(next), successorsNamed)] {
+func (h *helpers) fillPingResponse(resp *hostrpc.PingResponse) {
+	alive, successors := h.alive(), h.successors()
+	for _, p := range successors[:min(len(successors), maxSuccessors)] {
 		resp.Successors = append(resp.Successors, p.address)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for range min(addressSample, len(alive)) {
-		h.turn++
-		resp.Hosts = append(resp.Hosts, alive[h.turn%len(alive)].address)
+	for range min(maxSampledAddresses, len(alive)) {
+		h.lastSent++
+		resp.Hosts = append(resp.Hosts, alive[h.lastSent%len(alive)].address)
 	}
-	resp.NextMs = h.pingPause().Milliseconds()
+	resp.NextMs = h.pingInterval().Milliseconds()
 }
 
-// lost removes a host that cannot be reached until it pings again.
-func (h *helpers) lost(name string) {
+// remove removes a host that cannot be reached until it pings again.
+func (h *helpers) remove(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.seen, name)
+	delete(h.byName, name)
 }
 
 func (h *helpers) alive() []*helper {
@@ -114,9 +114,9 @@
 	defer h.mu.Unlock()
 	var out []*helper
 	now := boottime.Now()
-	for name, p := range h.seen {
-		if now > p.until {
-			delete(h.seen, name)
+	for name, p := range h.byName {
+		if now > p.expiresAt {
+			delete(h.byName, name)
 			continue
 		}
 		out = append(out, p)
@@ -138,20 +138,20 @@
 func (h *helpers) address(name string) (string, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p, ok := h.seen[name]
+	p, ok := h.byName[name]
 	if !ok {
 		return "", false
 	}
 	return p.address, true
 }
 
-// strength holds the resources of a host that matter for leading: thousandths of a
+// capacity holds the resources of a host that matter for leading: thousandths of a
 // core, bytes per second of its link, and mebibytes of memory.
-type strength struct{ milliCPU, linkBps, memoryMiB int64 }
+type capacity struct{ milliCPU, linkBps, memoryMiB int64 }
 
-// over returns the ratio of s to o: the geometric mean of the ratios of the three
+// ratioTo returns the ratio of s to o: the geometric mean of the ratios of the three
 // resources, which does not depend on their units.
-func (s strength) over(o strength) float64 {
+func (s capacity) ratioTo(o capacity) float64 {
 	ratio := func(a, b int64) float64 { return float64(max(a, 1)) / float64(max(b, 1)) }
 	return math.Cbrt(ratio(s.milliCPU, o.milliCPU) * ratio(s.linkBps, o.linkBps) * ratio(s.memoryMiB, o.memoryMiB))
 }
@@ -162,16 +162,16 @@
 func (h *helpers) successors() []*helper {
 	out := h.alive()
 	slices.SortStableFunc(out, func(a, b *helper) int {
-		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(b.first, a.first))
+		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(b.firstPing, a.firstPing))
 	})
 	return out
 }
 
-// stronger reports whether some helper exceeds the given host by at least the
-// factor muchStronger and should lead instead.
-func (h *helpers) stronger(than strength) bool {
+// hasLarger reports whether some helper exceeds the given host by at least the
+// factor handOverRatio and should lead instead.
+func (h *helpers) hasLarger(than capacity) bool {
 	for _, p := range h.alive() {
-		if p.over(than) >= muchStronger {
+		if p.ratioTo(than) >= handOverRatio {
 			return true
 		}
 	}
--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -23,12 +23,12 @@
 
 func manyHelpersOf(h *helpers, hosts int, strong ...int) *helpers {
 	for i := range hosts {
-		h.ping(&hostrpc.PingRequest{Host: fmt.Sprintf("h%03d", i), Address: fmt.Sprintf("10.0.%d.%d:8180", i/250, i%250), MilliCpu: 200, LinkBps: 2e6, MemoryMib: 200})
+		h.recordPing(&hostrpc.PingRequest{Host: fmt.Sprintf("h%03d", i), Address: fmt.Sprintf("10.0.%d.%d:8180", i/250, i%250), MilliCpu: 200, LinkBps: 2e6, MemoryMib: 200})
 	}
 	for _, i := range strong {
-		p := h.seen[fmt.Sprintf("h%03d", i)]
-		p.strength = strength{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}
-		p.rank = p.over(strength{})
+		p := h.byName[fmt.Sprintf("h%03d", i)]
+		p.capacity = capacity{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}
+		p.rank = p.ratioTo(capacity{})
 	}
 	return h
 }
@@ -39,19 +39,19 @@
 	cost := func(hosts int) (perSecond float64, bytes int) {
 		h := manyHelpers(hosts)
 		resp := &hostrpc.PingResponse{Leading: true}
-		h.answerPing(resp)
+		h.fillPingResponse(resp)
 		return float64(hosts) * 1000 / float64(resp.NextMs), proto.Size(resp)
 	}
 	for _, hosts := range []int{97, 300, 1000} {
 		perSecond, bytes := cost(hosts)
-		if perSecond > 1.01*mostPings {
-			t.Errorf("%d hosts: %.0f pings a second, want at most %d", hosts, perSecond, mostPings)
+		if perSecond > 1.01*maxPingRate {
+			t.Errorf("%d hosts: %.0f pings a second, want at most %d", hosts, perSecond, maxPingRate)
 		}
 		if _, few := cost(20); bytes > 2*few {
 			t.Errorf("%d hosts: an answer has %d bytes, with 20 hosts %d", hosts, bytes, few)
 		}
 	}
-	if perSecond, _ := cost(9); perSecond < 9/pingEvery.Seconds()-1 {
+	if perSecond, _ := cost(9); perSecond < 9/minPingInterval.Seconds()-1 {
 		t.Errorf("9 hosts: %.0f pings a second", perSecond)
 	}
 }
@@ -62,8 +62,8 @@
 	const linkBps = 250e3
 	h := manyHelpersOf(newHelpers(linkBps), 18)
 	resp := &hostrpc.PingResponse{}
-	h.answerPing(resp)
-	if used := 18 * pingBytes * 1000 / float64(resp.NextMs); used > 1.2*pingShare*linkBps {
+	h.fillPingResponse(resp)
+	if used := 18 * pingBytes * 1000 / float64(resp.NextMs); used > 1.2*pingLinkShare*linkBps {
 		t.Errorf("pings take %.0f bytes a second of %.0f", used, linkBps)
 	}
 }
@@ -75,7 +75,7 @@
 	told := make(map[string]bool)
 	for range 50 {
 		resp := &hostrpc.PingResponse{}
-		h.answerPing(resp)
+		h.fillPingResponse(resp)
 		for _, a := range resp.Hosts {
 			told[a] = true
 		}
@@ -89,11 +89,11 @@
 // overdue, which takes seconds in a large region.
 func TestHelperThatCannotBeReached(t *testing.T) {
 	h := manyHelpers(3)
-	h.lost("h001")
+	h.remove("h001")
 	if names := h.names(); len(names) != 3 {
 		t.Errorf("%v are asked for advice", names)
 	}
-	h.ping(&hostrpc.PingRequest{Host: "h001"})
+	h.recordPing(&hostrpc.PingRequest{Host: "h001"})
 	if names := h.names(); len(names) != 4 {
 		t.Errorf("%v are asked for advice after its next ping", names)
 	}
@@ -104,15 +104,15 @@
 func TestStrongestComeFirst(t *testing.T) {
 	h := manyHelpers(90, 40, 70)
 	resp := &hostrpc.PingResponse{}
-	h.answerPing(resp)
-	if len(resp.Successors) != successorsNamed || resp.Successors[0] != "10.0.0.70:8180" || resp.Successors[1] != "10.0.0.40:8180" {
+	h.fillPingResponse(resp)
+	if len(resp.Successors) != maxSuccessors || resp.Successors[0] != "10.0.0.70:8180" || resp.Successors[1] != "10.0.0.40:8180" {
 		t.Errorf("successors %v", resp.Successors)
 	}
-	weak := strength{milliCPU: 200, linkBps: 2e6, memoryMiB: 200}
-	if !h.stronger(weak) || h.stronger(strength{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}) {
+	weak := capacity{milliCPU: 200, linkBps: 2e6, memoryMiB: 200}
+	if !h.hasLarger(weak) || h.hasLarger(capacity{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}) {
 		t.Error("hand-over to a host that is no larger, or none to one that is")
 	}
-	if wide := (strength{milliCPU: 200, linkBps: 2e7, memoryMiB: 200}); wide.over(weak) < muchStronger || weak.over(wide) > 1 {
+	if wide := (capacity{milliCPU: 200, linkBps: 2e7, memoryMiB: 200}); wide.ratioTo(weak) < handOverRatio || weak.ratioTo(wide) > 1 {
 		t.Error("the bandwidth of the link is ignored")
 	}
 }
@@ -125,18 +125,18 @@
 	first := f.leader()
 	f.until("the leader knows the other", func() bool { return len(first.helpers.alive()) == 1 })
 	strong, small := f.otherThan(first), f.addWith("small", "limits.cpuShare=0.1")
-	f.until("the small host has read the claim", func() bool { claim, _ := small.election.current(); return claim != nil })
-	_, fence := small.election.current()
+	f.until("the small host has read the claim", func() bool { claim, _ := small.election.newestClaim(); return claim != nil })
+	_, fence := small.election.newestClaim()
 	small.election.mu.Lock()
 	small.election.successors = []string{"127.0.0.1:1", strong.settings.Control}
 	small.election.mu.Unlock()
 	f.until("the strong host leads", func() bool {
-		return small.election.nominate(context.Background(), fence) || strong.election.leading() != nil
+		return small.election.nominate(context.Background(), fence) || strong.election.localLeader() != nil
 	})
-	if small.election.leading() != nil {
+	if small.election.localLeader() != nil {
 		t.Error("the small host leads")
 	}
-	if _, fence := strong.election.current(); strong.election.nominate(context.Background(), fence) {
+	if _, fence := strong.election.newestClaim(); strong.election.nominate(context.Background(), fence) {
 		t.Error("the leader nominated another host")
 	}
 }
@@ -146,25 +146,25 @@
 func TestTakeoversConverge(t *testing.T) {
 	e := newElection(New(platform.Settings{}, telemetry.Discard()))
 	now := time.Hour
-	e.claimTimes = []time.Duration{now}
-	if got := e.patience(now); got != silence {
-		t.Errorf("%v after one takeover, want %v", got, silence)
-	}
-	last := silence
-	for range mostDoublings {
-		e.claimTimes = append(e.claimTimes, now)
-		got := e.patience(now)
+	e.recentClaims = []time.Duration{now}
+	if got := e.currentElectionTimeout(now); got != baseElectionTimeout {
+		t.Errorf("%v after one takeover, want %v", got, baseElectionTimeout)
+	}
+	last := baseElectionTimeout
+	for range maxTimeoutDoublings {
+		e.recentClaims = append(e.recentClaims, now)
+		got := e.currentElectionTimeout(now)
 		if got != 2*last {
-			t.Errorf("%v after %d takeovers, want %v", got, len(e.claimTimes), 2*last)
+			t.Errorf("%v after %d takeovers, want %v", got, len(e.recentClaims), 2*last)
 		}
 		last = got
 	}
-	e.claimTimes = append(e.claimTimes, now)
-	if got := e.patience(now); got != last {
+	e.recentClaims = append(e.recentClaims, now)
+	if got := e.currentElectionTimeout(now); got != last {
 		t.Errorf("%v after one more takeover, which exceeds the bound", got)
 	}
-	if got := e.patience(now + 2*claimMemory); got != silence {
-		t.Errorf("%v after the claims expired, want %v", got, silence)
+	if got := e.currentElectionTimeout(now + 2*recentClaimWindow); got != baseElectionTimeout {
+		t.Errorf("%v after the claims expired, want %v", got, baseElectionTimeout)
 	}
 }
 
--- a/host/host.go
+++ b/host/host.go
@@ -60,15 +60,15 @@
 	load        *linkstats.Load
 	tel         *telemetry.Telemetry
 
-	config   *configWatch
-	intake   *logwriter.Writer
-	election *election
-	peers    *peers
-	helpers  *helpers
-	contact  contact
-	group    conc.WaitGroup
-	work     context.Context // canceled when the host has stopped
-	endWork  context.CancelFunc
+	config      *configWatch
+	intake      *logwriter.Writer
+	election    *election
+	peers       *peers
+	helpers     *helpers
+	peerContact peerContact
+	group       conc.WaitGroup
+	work        context.Context // canceled when the host has stopped
+	endWork     context.CancelFunc
 
 	stopping  atomic.Bool
 	stoppedAt atomic.Int64
@@ -105,8 +105,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-func (h *Host) strength() strength {
-	return strength{milliCPU: h.settings.MilliCPU, linkBps: h.settings.LinkBps, memoryMiB: h.settings.MemoryMB}
+func (h *Host) capacity() capacity {
+	return capacity{milliCPU: h.settings.MilliCPU, linkBps: h.settings.LinkBps, memoryMiB: h.settings.MemoryMB}
 }
 
 // Run serves until ctx ends or another producer replaces the intake writer, then
@@ -120,7 +120,7 @@
 	}
 	h.log.WithFields(logrus.Fields{"incarnation": h.incarnation, "front": h.settings.Front, "control": h.settings.Control}).Info("started")
 	h.group.Go(func() { h.config.run(h.work) })
-	h.group.Go(func() { h.sendCallersAway(h.work, servers[0]) })
+	h.group.Go(func() { h.syncKeepAlives(h.work, servers[0]) })
 	h.group.Go(func() { h.election.watchClaims(h.work) })
 	h.group.Go(func() { h.election.run(h.work) })
 	h.group.Go(func() {
@@ -145,7 +145,7 @@
 // stop hands over the leadership, drains the callers' connections and shuts down
 // the servers, all within the grace period.
 func (h *Host) stop(servers []*http.Server) {
-	h.log.WithField("leading", h.election.leading() != nil).Info("stopping")
+	h.log.WithField("leading", h.election.localLeader() != nil).Info("stopping")
 	h.stoppedAt.Store(int64(boottime.Now()))
 	h.stopping.Store(true)
 	limit := h.settings.Grace - stopMargin
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -79,7 +79,7 @@
 	var cut *member
 	f.until("a host that does not lead", func() bool {
 		for _, m := range f.hosts {
-			if l := f.leader(); l != nil && m != l && m.config.Config() != nil && len(m.election.others(1)) > 0 {
+			if l := f.leader(); l != nil && m != l && m.config.Config() != nil && len(m.election.otherHosts(1)) > 0 {
 				cut = m
 				return true
 			}
@@ -127,12 +127,12 @@
 	f.until("the job runs", func() bool { return len(f.starts()) == 2 })
 	for _, m := range f.hosts {
 		if m != first {
-			_, fence := m.election.current()
-			m.election.try(m.work, fence)
+			_, fence := m.election.newestClaim()
+			m.election.claimLeadership(m.work, fence)
 		}
 	}
 	f.until("the worker has seen the second leader", func() bool { return f.workers[0].Fence() > old })
-	f.until("the first leader has stepped down", func() bool { return first.election.leading() == nil })
+	f.until("the first leader has stepped down", func() bool { return first.election.localLeader() == nil })
 	f.until("the job is completed", func() bool { return f.completed(first, 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
@@ -246,8 +246,8 @@
 	first := f.leader()
 	for _, other := range f.hosts {
 		if other != first {
-			_, fence := other.election.current()
-			other.election.try(other.work, fence)
+			_, fence := other.election.newestClaim()
+			other.election.claimLeadership(other.work, fence)
 		}
 	}
 	f.until("the other host leads", func() bool { l := f.leader(); return l != nil && l != first })
--- a/host/keep.go
+++ b/host/keep.go
@@ -18,81 +18,81 @@
 // certainly not in the log, and UNSPECIFIED if it may be.
 func (h *Host) Keep(ctx context.Context, req *connect.Request[hostrpc.KeepRequest]) (*connect.Response[hostrpc.KeepResponse], error) {
 	if !h.intake.Healthy() {
-		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
+		return keepResponse(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
 	}
 	done := make(chan struct{})
 	p := h.intake.Write(req.Msg.Record, func(logwriter.Kept) { close(done) })
 	select {
 	case <-done:
-		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_KEPT), nil
+		return keepResponse(hostrpc.KeepOutcome_KEEP_OUTCOME_KEPT), nil
 	case <-ctx.Done():
 	case <-time.After(time.Duration(req.Msg.TimeoutMs) * time.Millisecond):
 	}
 	if p.Withdraw() {
-		return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
+		return keepResponse(hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT), nil
 	}
-	return keepAnswer(hostrpc.KeepOutcome_KEEP_OUTCOME_UNSPECIFIED), nil
+	return keepResponse(hostrpc.KeepOutcome_KEEP_OUTCOME_UNSPECIFIED), nil
 }
 
-func keepAnswer(o hostrpc.KeepOutcome) *connect.Response[hostrpc.KeepResponse] {
+func keepResponse(o hostrpc.KeepOutcome) *connect.Response[hostrpc.KeepResponse] {
 	return connect.NewResponse(&hostrpc.KeepResponse{Outcome: o})
 }
 
-// peerLogTimeout bounds the append that another host makes on this host's behalf.
+// peerAppendTimeout bounds the append that another host makes on this host's behalf.
 // Its answer has to arrive within peerTimeout.
-const peerLogTimeout = 250 * time.Millisecond
+const peerAppendTimeout = 250 * time.Millisecond
 
-// keepByPeers asks other hosts concurrently to append a record. One success is
+// appendThroughPeers asks other hosts concurrently to append a record. One success is
 // enough, and a record that is appended twice counts once.
-func (h *Host) keepByPeers(ctx context.Context, data []byte) outcome {
-	addresses := h.election.others(peerTries)
-	outcomes := make(chan outcome, len(addresses))
+func (h *Host) appendThroughPeers(ctx context.Context, data []byte) appendOutcome {
+	addresses := h.election.otherHosts(peerTries)
+	outcomes := make(chan appendOutcome, len(addresses))
 	ctx, cancel := context.WithCancel(ctx)
 	var calls conc.WaitGroup
 	defer calls.Wait()
 	defer cancel()
 	for _, address := range addresses {
-		calls.Go(func() { outcomes <- h.keepBy(ctx, address, data) })
+		calls.Go(func() { outcomes <- h.appendThrough(ctx, address, data) })
 	}
-	result := notKept
+	result := notAppended
 	for range addresses {
 		switch <-outcomes {
-		case kept:
+		case appended:
 			h.metrics.Counter("kept_by_peers").Inc(1)
-			return kept
-		case unknown:
-			result = unknown
+			return appended
+		case appendUnknown:
+			result = appendUnknown
 		}
 	}
 	return result
 }
 
-// keepBy asks one host to append a record.
-func (h *Host) keepBy(ctx context.Context, address string, data []byte) outcome {
+// appendThrough asks one host to append a record.
+func (h *Host) appendThrough(ctx context.Context, address string, data []byte) appendOutcome {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	resp, err := h.peers.helper(address).Keep(ctx, newRequest(&hostrpc.KeepRequest{
-		Record: data, TimeoutMs: peerLogTimeout.Milliseconds(),
+		Record: data, TimeoutMs: peerAppendTimeout.Milliseconds(),
 	}))
 	if err != nil {
 		h.log.WithError(err).WithField("address", address).Debug("peer did not report the outcome of the append")
-		return unknown
+		return appendUnknown
 	}
-	h.contact.heard()
+	h.peerContact.succeeded()
 	switch resp.Msg.Outcome {
 	case hostrpc.KeepOutcome_KEEP_OUTCOME_KEPT:
-		return kept
+		return appended
 	case hostrpc.KeepOutcome_KEEP_OUTCOME_NOT_KEPT:
-		return notKept
+		return notAppended
 	}
-	return unknown
+	return appendUnknown
 }
 
 // Kept implements hostrpc.LeaderHandler. It passes a record that is already in the
 // log to the leader on this host. It answers FAILED_PRECONDITION if this host does
 // not lead, and INVALID_ARGUMENT if the record cannot be decoded.
 func (h *Host) Kept(ctx context.Context, req *connect.Request[hostrpc.KeptRequest]) (*connect.Response[hostrpc.KeptResponse], error) {
-	l := h.election.leading()
+	l := h.election.localLeader()
 	if l == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading)
 	}
@@ -104,29 +104,29 @@
 	return connect.NewResponse(&hostrpc.KeptResponse{}), nil
 }
 
-// tellTimeout bounds the notification of the leader. The leader's own read of the
+// notifyTimeout bounds the notification of the leader. The leader's own read of the
 // log brings the record as well.
-const tellTimeout = 300 * time.Millisecond
+const notifyTimeout = 300 * time.Millisecond
 
-// tellLeader notifies the leader of a record that is in the log. If another host
+// notifyLeader notifies the leader of a record that is in the log. If another host
 // leads, the call runs in the background, and is skipped once this host has stopped.
-func (h *Host) tellLeader(r *record.Intake, data []byte) {
-	if l := h.election.leading(); l != nil {
+func (h *Host) notifyLeader(r *record.Intake, data []byte) {
+	if l := h.election.localLeader(); l != nil {
 		l.Kept(h.work, r)
 		return
 	}
-	claim, _ := h.election.current()
+	claim, _ := h.election.newestClaim()
 	if claim == nil || h.work.Err() != nil {
 		return
 	}
 	h.group.Go(func() {
-		ctx, cancel := context.WithTimeout(h.work, tellTimeout)
+		ctx, cancel := context.WithTimeout(h.work, notifyTimeout)
 		defer cancel()
 		if _, err := h.peers.leader(claim.Address).Kept(ctx, newRequest(&hostrpc.KeptRequest{Record: data})); err != nil {
 			h.metrics.Counter("leader_not_told").Inc(1)
 			h.log.WithError(err).WithField("leader", claim.Host).Debug("leader not notified of an appended record; it will read it from the log")
 			return
 		}
-		h.contact.heard()
+		h.peerContact.succeeded()
 	})
 }
--- a/host/peers.go
+++ b/host/peers.go
@@ -60,13 +60,13 @@
 // Ping implements hostrpc.LeaderHandler. A host that does not lead answers with its
 // incarnation only.
 func (h *Host) Ping(_ context.Context, req *connect.Request[hostrpc.PingRequest]) (*connect.Response[hostrpc.PingResponse], error) {
-	l := h.election.leading()
+	l := h.election.localLeader()
 	if l == nil {
 		return connect.NewResponse(&hostrpc.PingResponse{Incarnation: h.incarnation}), nil
 	}
-	h.helpers.ping(req.Msg)
+	h.helpers.recordPing(req.Msg)
 	resp := &hostrpc.PingResponse{Leading: true, Incarnation: h.incarnation, LogContactMs: l.LogContactAge().Milliseconds()}
-	h.helpers.answerPing(resp)
+	h.helpers.fillPingResponse(resp)
 	return connect.NewResponse(resp), nil
 }
 
@@ -74,7 +74,7 @@
 // workspace. It answers FAILED_PRECONDITION if this host does not lead, and
 // UNAVAILABLE if its knowledge may be out of date.
 func (h *Host) State(_ context.Context, req *connect.Request[hostrpc.StateRequest]) (*connect.Response[hostrpc.StateResponse], error) {
-	l := h.election.leading()
+	l := h.election.localLeader()
 	if l == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading)
 	}
@@ -89,7 +89,7 @@
 // a queue. It answers FAILED_PRECONDITION if this host does not lead, and
 // UNAVAILABLE if it is still loading.
 func (h *Host) Pending(_ context.Context, req *connect.Request[hostrpc.PendingRequest]) (*connect.Response[hostrpc.PendingResponse], error) {
-	l := h.election.leading()
+	l := h.election.localLeader()
 	if l == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading)
 	}
@@ -148,10 +148,10 @@
 	var last error = errNoPeers
 	defer func() {
 		if last != nil {
-			h.contact.failed()
+			h.peerContact.failed()
 		}
 	}()
-	for _, address := range h.election.others(peerTries) {
+	for _, address := range h.election.otherHosts(peerTries) {
 		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 		resp, err := h.peers.helper(address).Config(callCtx, newRequest(&hostrpc.ConfigRequest{Version: have}))
 		cancel()
@@ -159,7 +159,7 @@
 			last = err
 			continue
 		}
-		h.contact.heard()
+		h.peerContact.succeeded()
 		last = nil
 		m := resp.Msg
 		return peerConfig{version: m.Version, age: time.Duration(m.AgeMs) * time.Millisecond, raw: m.Config}, nil
@@ -177,7 +177,7 @@
 	if h.stopping.Load() {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errStopping)
 	}
-	if _, fence := h.election.current(); fence != req.Msg.Fence && h.election.leading() == nil {
+	if _, fence := h.election.newestClaim(); fence != req.Msg.Fence && h.election.localLeader() == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading) // another host has claimed since
 	}
 	// An unanswered append by this host does not count against it: if the log is slow
@@ -187,7 +187,7 @@
 		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
 	}
 	h.log.WithField("fence", req.Msg.Fence).Info("asked to take over")
-	if !h.election.try(h.work, req.Msg.Fence) {
+	if !h.election.claimLeadership(h.work, req.Msg.Fence) {
 		return nil, connect.NewError(connect.CodeUnavailable, errNotLeading)
 	}
 	return connect.NewResponse(&hostrpc.TakeOverResponse{}), nil
@@ -244,7 +244,7 @@
 		return wrapped
 	}
 	if !connect.IsWireError(err) {
-		h.helpers.lost(host)
+		h.helpers.remove(host)
 	}
 	return &platform.NotSentError{Cause: wrapped}
 }
