--- a/host/ask.go
+++ b/host/ask.go
@@ -11,9 +11,9 @@
 	"github.com/fireflyfold/fireflyfold/region"
 )
 
-// state answers with the job's state as the leader knows it.
-func (c *call) state() {
-	state, ok := c.ask()
+// serveState answers with the job's state as the leader knows it.
+func (c *call) serveState() {
+	state, ok := c.jobState()
 	if !ok {
 		c.refuse("the leader did not answer")
 		return
@@ -25,37 +25,37 @@
 	c.answer(http.StatusOK, platform.EncodeState(stateNames[state]))
 }
 
-// ask asks the leader for the state of the caller's job. It reports false if the
+// jobState asks the leader for the state of the caller's job. It reports false if the
 // leader did not answer. A job of another workspace is reported as unknown: a caller
 // must not be able to read or cancel it with its own key.
 //
 // While there is no leader, or it is still loading, the call is repeated for up to
-// leaderPatience: a refusal would delay the answer by the caller's retry, a second
+// leaderWaitTimeout: a refusal would delay the answer by the caller's retry, a second
 // or more.
-func (c *call) ask() (region.State, bool) {
-	until := boottime.Now() + leaderPatience
+func (c *call) jobState() (region.State, bool) {
+	until := boottime.Now() + leaderWaitTimeout
 	for {
-		state, workspace, ok := c.askLeader()
+		state, workspace, ok := c.leaderJobState()
 		switch {
 		case ok && workspace != c.owner:
 			return region.StateUnknown, true
 		case ok:
 			return state, true
-		case boottime.Now() > until || c.host.isolated() || !boottime.Sleep(c.ctx, leaderLook):
+		case boottime.Now() > until || c.host.isolated() || !boottime.Sleep(c.ctx, leaderRetryInterval):
 			return region.StateUnknown, false
 		}
 	}
 }
 
-// askPatience returns the timeout of one call to the leader.
-func (h *Host) askPatience() time.Duration {
+// leaderTimeout returns the timeout of one call to the leader.
+func (h *Host) leaderTimeout() time.Duration {
 	if h.Ready() {
-		return askTimeout
+		return leaderCallTimeout
 	}
-	return askTimeoutUnready
+	return leaderCallTimeoutUnready
 }
 
-func (c *call) askLeader() (state region.State, workspace string, ok bool) {
+func (c *call) leaderJobState() (state region.State, workspace string, ok bool) {
 	if l := c.host.election.localLeader(); l != nil {
 		return l.State(c.job)
 	}
@@ -63,7 +63,7 @@
 	if claim == nil || c.host.isolated() {
 		return region.StateUnknown, "", false
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, c.host.askPatience())
+	ctx, cancel := context.WithTimeout(c.ctx, c.host.leaderTimeout())
 	defer cancel()
 	resp, err := c.host.peers.leader(claim.Address).State(ctx, newRequest(&hostrpc.StateRequest{Job: c.job}))
 	if err != nil {
@@ -73,9 +73,9 @@
 	return region.State(resp.Msg.State), resp.Msg.Workspace, true
 }
 
-// pending answers with the number of the queue's pending jobs.
-func (c *call) pending() {
-	n, ok := c.askPending()
+// servePending answers with the number of the queue's pending jobs.
+func (c *call) servePending() {
+	n, ok := c.leaderPending()
 	if !ok {
 		c.refuse("the leader did not answer")
 		return
@@ -83,7 +83,7 @@
 	c.answer(http.StatusOK, platform.EncodePending(n))
 }
 
-func (c *call) askPending() (int64, bool) {
+func (c *call) leaderPending() (int64, bool) {
 	if l := c.host.election.localLeader(); l != nil {
 		return l.Pending(c.queue.Name)
 	}
@@ -91,7 +91,7 @@
 	if claim == nil {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, c.host.askPatience())
+	ctx, cancel := context.WithTimeout(c.ctx, c.host.leaderTimeout())
 	defer cancel()
 	resp, err := c.host.peers.leader(claim.Address).Pending(ctx, newRequest(&hostrpc.PendingRequest{Queue: c.queue.Name}))
 	if err != nil {
--- a/host/bench_test.go
+++ b/host/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkJobs measures the cost of a job of two tasks, including its caller and
 // the fake platform in the same process.
 func BenchmarkJobs(b *testing.B) {
-	f := newFleet(b, 2, 24, 20*time.Millisecond)
+	f := newTestRegion(b, 2, 24, 20*time.Millisecond)
 	m := f.leader()
 	n := 0
 	for b.Loop() {
@@ -19,6 +19,6 @@
 		n++
 	}
 	for i := range n {
-		f.until("the job is completed", func() bool { return f.completed(m, i) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(m, i) })
 	}
 }
--- a/host/command.go
+++ b/host/command.go
@@ -65,9 +65,10 @@
 	// gcPercent lets the heap grow to four times the live data before a collection:
 	// a leader holds some 15 MB live and allocates for every call.
 	gcPercent = 300
-	// memoryShare is the fraction of the platform's memory bound at which the runtime
-	// collects more often. Without it a burst could exceed the bound and end the process.
-	memoryShare = 0.6
+	// memoryLimitShare is the fraction of the platform's memory bound at which the
+	// runtime collects more often. Without it a burst could exceed the bound and end the
+	// process.
+	memoryLimitShare = 0.6
 )
 
 // limitMemory configures the garbage collector for a memory bound in MiB. It
@@ -75,7 +76,7 @@
 // its bound.
 func limitMemory(boundMB int64) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(float64(boundMB<<20) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(boundMB<<20) * memoryLimitShare))
 }
 
 func (c *Command) run(ctx context.Context, s platform.Settings) error {
--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -12,17 +12,17 @@
 // The log takes appends, but its waiting reads return no new records for a while. Jobs
 // accepted meanwhile would wait for the leader's next read, and urgent ones would miss
 // their deadlines. The host that accepts a job notifies the leader of it.
-func TestLeaderIsToldOfKeptJobs(t *testing.T) {
-	f := newFleet(t, 2, 2, 50*time.Millisecond)
+func TestLeaderIsNotifiedOfAppendedJobs(t *testing.T) {
+	f := newTestRegion(t, 2, 2, 50*time.Millisecond)
 	f.store.Hush(leader.TopicIntake, true)
 	for n, m := range f.hosts {
 		if status, _ := f.call(m, http.MethodPost, jobPath(n), "k1", twoTasks); status != http.StatusOK {
 			t.Fatalf("submission answered %d", status)
 		}
-		f.until("the job is completed", func() bool { return f.completed(m, n) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(m, n) })
 	}
 	f.store.Hush(leader.TopicIntake, false)
-	f.until("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
+	f.waitUntil("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
 			t.Errorf("task %s started %d times", task, n)
@@ -34,17 +34,17 @@
 // that stays connected would be refused until the partition heals, and a submission
 // would wait until its deadline. The host must become unready, close its callers'
 // connections, and answer a submission at once with an unknown outcome or a refusal.
-func TestIsolatedHostSendsCallersAway(t *testing.T) {
-	f := newFleet(t, 2, 1, 50*time.Millisecond)
+func TestIsolatedHostClosesCallerConnections(t *testing.T) {
+	f := newTestRegion(t, 2, 1, 50*time.Millisecond)
 	first := f.leader()
-	cut := f.otherThan(first)
-	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
+	isolated := f.lastOther(first)
+	if status, _ := f.call(isolated, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted before the partition")
 	}
-	cut.door.Silence(true)
+	isolated.door.Silence(true)
 	first.stop()
 	<-first.done
-	req, err := http.NewRequest(http.MethodPost, "http://"+cut.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+isolated.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 	if !resp.Close {
 		t.Error("the caller's connection was not closed")
 	}
-	if cut.Ready() {
+	if isolated.Ready() {
 		t.Error("the isolated host is ready")
 	}
-	cut.door.Silence(false)
-	f.until("the host leads after the partition", func() bool { return f.leader() == cut })
-	f.until("the job is completed", func() bool { return f.completed(cut, 1) })
+	isolated.door.Silence(false)
+	f.waitUntil("the host leads after the partition", func() bool { return f.leader() == isolated })
+	f.waitUntil("the job is completed", func() bool { return f.completed(isolated, 1) })
 }
--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -17,16 +17,16 @@
 	"github.com/fireflyfold/fireflyfold/telemetry"
 )
 
-// fleet is a region of a few hosts in one process, on a fake platform.
-type fleet struct {
+// testRegion is a region of a few hosts in one process, on a fake platform.
+type testRegion struct {
 	t       testing.TB
 	store   *fakeplatform.Store
 	workers []*fakeplatform.Worker
-	hosts   []*member
+	hosts   []*testHost
 }
 
-// member is one host with its own access to the log.
-type member struct {
+// testHost is one host with its own access to the log.
+type testHost struct {
 	*Host
 	door *fakeplatform.Door
 	stop context.CancelFunc
@@ -38,23 +38,23 @@
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
 "tenants":[{"name":"ws","weight":1000,"apiKeys":[%s]},{"name":"other","weight":1,"apiKeys":["o1"]}]}`
 
-func newFleet(t testing.TB, hosts, workers int, runTime time.Duration) *fleet {
-	f := &fleet{t: t, store: fakeplatform.NewStore()}
+func newTestRegion(t testing.TB, hosts, workers int, taskDuration time.Duration) *testRegion {
+	f := &testRegion{t: t, store: fakeplatform.NewStore()}
 	f.configure(1, "k1", "k2")
 	for i := range workers {
-		w := fakeplatform.NewWorker(f.store, fmt.Sprintf("i-%d", i), runTime)
+		w := fakeplatform.NewWorker(f.store, fmt.Sprintf("i-%d", i), taskDuration)
 		f.workers = append(f.workers, w)
 		t.Cleanup(w.Close)
 	}
 	for i := range hosts {
 		f.add(fmt.Sprintf("h%d", i))
 	}
-	f.until("a host leads", func() bool { return f.leader() != nil })
+	f.waitUntil("a host leads", func() bool { return f.leader() != nil })
 	return f
 }
 
 // configure publishes a configuration with the given version and keys of the workspace ws.
-func (f *fleet) configure(version int, keys ...string) {
+func (f *testRegion) configure(version int, keys ...string) {
 	quoted := make([]string, 0, len(keys))
 	for _, k := range keys {
 		quoted = append(quoted, `"`+k+`"`)
@@ -62,15 +62,15 @@
 	f.store.Put("keyed.op", "config", fmt.Appendf(nil, testConfig, version, strings.Join(quoted, ",")))
 }
 
-func (f *fleet) add(name string) *member { return f.addWith(name, "") }
+func (f *testRegion) add(name string) *testHost { return f.addWith(name, "") }
 
 // addWith adds a host with additional lines of settings.
-func (f *fleet) addWith(name, more string) *member {
+func (f *testRegion) addWith(name, extraSettings string) *testHost {
 	f.t.Helper()
-	m := &member{door: f.store.Door(), done: make(chan struct{})}
+	m := &testHost{door: f.store.Door(), done: make(chan struct{})}
 	settings := filepath.Join(f.t.TempDir(), "settings")
 	text := fmt.Sprintf("node=%s\nip=127.0.0.1\nzone=z1\nlisten.front=%s\nlisten.ready=%s\nlisten.control=%s\nplatform.address=%s\n"+
-		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.door.Address(), more)
+		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.door.Address(), extraSettings)
 	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	return m
 }
 
-func (f *fleet) port() string {
+func (f *testRegion) port() string {
 	f.t.Helper()
 	a, err := fakeplatform.FreeAddress()
 	if err != nil {
@@ -106,7 +106,7 @@
 	return a
 }
 
-func (f *fleet) leader() *member {
+func (f *testRegion) leader() *testHost {
 	for _, m := range f.hosts {
 		if l := m.election.localLeader(); l != nil && l.Loaded() && !m.stopping.Load() {
 			return m
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// otherThan returns the most recently added host other than m.
-func (f *fleet) otherThan(m *member) *member {
-	var other *member
+// lastOther returns the most recently added host other than m.
+func (f *testRegion) lastOther(m *testHost) *testHost {
+	var other *testHost
 	for _, o := range f.hosts {
 		if o != m {
 			other = o
@@ -126,8 +126,8 @@
 	return other
 }
 
-// until waits until cond holds, and fails the test after 30 s.
-func (f *fleet) until(what string, cond func() bool) {
+// waitUntil waits until cond holds, and fails the test after 30 s.
+func (f *testRegion) waitUntil(what string, cond func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !cond(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -138,7 +138,7 @@
 
 // call sends a request to a host as a caller does. It returns the status and body; 0 and
 // "" if there was no complete response.
-func (f *fleet) call(m *member, method, path, key, body string) (int, string) {
+func (f *testRegion) call(m *testHost, method, path, key, body string) (int, string) {
 	f.t.Helper()
 	req, err := http.NewRequest(method, "http://"+m.settings.Front+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -163,13 +163,13 @@
 
 func jobPath(n int) string { return fmt.Sprintf("/p/%016x", n) }
 
-func (f *fleet) completed(m *member, n int) bool {
+func (f *testRegion) completed(m *testHost, n int) bool {
 	status, body := f.call(m, http.MethodGet, jobPath(n), "k1", "")
 	return status == http.StatusOK && strings.Contains(body, platform.StateCompleted)
 }
 
 // starts returns the number of starts of each task, summed over all workers.
-func (f *fleet) starts() map[string]int {
+func (f *testRegion) starts() map[string]int {
 	all := make(map[string]int)
 	for _, w := range f.workers {
 		for task, n := range w.Starts() {
--- a/host/front.go
+++ b/host/front.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	// patience is the deadline of a request that does not set one.
-	patience = 3 * time.Second
+	// defaultDeadline is the deadline of a request that does not set one.
+	defaultDeadline = 3 * time.Second
 	// answerMargin is the part of a caller's deadline that is reserved for delivering
 	// the answer.
 	answerMargin = 100 * time.Millisecond
-	// logPatience is how long an append may take before other hosts are asked to make
-	// it as well, as a hedged request. The log answers within some 10 ms, and within
-	// half a second when it is slow for everyone.
-	logPatience = 250 * time.Millisecond
-	// askTimeout bounds one call to the leader; the call is repeated.
-	askTimeout = 700 * time.Millisecond
-	// askTimeoutUnready is the same at a host that is not ready: the leader may be
+	// appendHedgeDelay is how long an append may take before other hosts are asked to
+	// make it as well, as a hedged request. The log answers within some 10 ms, and
+	// within half a second when it is slow for everyone.
+	appendHedgeDelay = 250 * time.Millisecond
+	// leaderCallTimeout bounds one call to the leader; the call is repeated.
+	leaderCallTimeout = 700 * time.Millisecond
+	// leaderCallTimeoutUnready is the same at a host that is not ready: the leader may be
 	// unreachable from it, and the caller should retry at another host soon.
-	askTimeoutUnready = 150 * time.Millisecond
-	// leaderPatience is how long a request waits for a leader: a successor leads
+	leaderCallTimeoutUnready = 150 * time.Millisecond
+	// leaderWaitTimeout is how long a request waits for a leader: a successor leads
 	// within a second, and a refused caller retries after a second at the earliest.
-	leaderPatience = time.Second
-	// leaderLook is the pause between two attempts to ask the leader.
-	leaderLook = 50 * time.Millisecond
+	leaderWaitTimeout = time.Second
+	// leaderRetryInterval is the pause between two attempts to ask the leader.
+	leaderRetryInterval = 50 * time.Millisecond
 	// revocationMargin is subtracted from the time within which a withdrawn key must
 	// stop working: a request that passes the key check is answered within it.
 	revocationMargin = 1500 * time.Millisecond
-	// defaultBodyBytes bounds the body of a submission if the configuration sets no
+	// defaultMaxBodyBytes bounds the body of a submission if the configuration sets no
 	// limit. It has room for a spec of 4,000 bytes and some thousand steps.
-	defaultBodyBytes = 1 << 20
-	// retrySoon is the Retry-After, in seconds, of a refusal that is temporary or
+	defaultMaxBodyBytes = 1 << 20
+	// retryAfterSeconds is the Retry-After, in seconds, of a refusal that is temporary or
 	// specific to this host.
-	retrySoon = 1
+	retryAfterSeconds = 1
 )
 
 var stateNames = map[region.State]string{
@@ -74,12 +74,12 @@
 	ctx      context.Context
 }
 
-// front handles a request of a caller.
-func (h *Host) front(w http.ResponseWriter, r *http.Request) {
+// serveCaller handles a request of a caller.
+func (h *Host) serveCaller(w http.ResponseWriter, r *http.Request) {
 	c := &call{host: h, w: w, r: r}
 	c.deadline = platform.DeadlineOf(r.Header)
 	if c.deadline == 0 {
-		c.deadline = patience
+		c.deadline = defaultDeadline
 	}
 	c.ctx, c.cancel = context.WithTimeout(r.Context(), max(c.deadline-answerMargin, answerMargin))
 	defer c.cancel()
@@ -90,9 +90,9 @@
 	case r.Method == http.MethodPost && c.job != "":
 		c.submit()
 	case r.Method == http.MethodGet && c.job != "":
-		c.state()
+		c.serveState()
 	case r.Method == http.MethodGet:
-		c.pending()
+		c.servePending()
 	case r.Method == http.MethodDelete && c.job != "":
 		c.cancelJob()
 	default:
@@ -110,7 +110,7 @@
 	}
 	queue, ok := c.config.Queue(hostName(c.r.Host), c.r.URL.Path)
 	if !ok {
-		return c.unconfigured(http.StatusNotFound)
+		return c.rejectIfConfirmed(http.StatusNotFound)
 	}
 	c.queue = queue
 	c.job = strings.TrimPrefix(c.r.URL.Path, queue.PathPrefix)
@@ -123,7 +123,7 @@
 	}
 	c.owner, ok = c.config.KeyOwner[platform.KeyOf(c.r.Header)]
 	if !ok {
-		return c.unconfigured(http.StatusUnauthorized)
+		return c.rejectIfConfirmed(http.StatusUnauthorized)
 	}
 	// A host whose configuration has not been confirmed as the newest recently may
 	// not know that the key was withdrawn.
@@ -134,10 +134,10 @@
 	return true
 }
 
-// unconfigured answers a request that the configuration does not allow with status.
-// If the configuration is not confirmed, a newer one may allow the request, and the
-// answer is a refusal instead. It always reports false.
-func (c *call) unconfigured(status int) bool {
+// rejectIfConfirmed answers a request that the configuration does not allow with
+// status. If the configuration is not confirmed, a newer one may allow the request,
+// and the answer is a refusal instead. It always reports false.
+func (c *call) rejectIfConfirmed(status int) bool {
 	if c.host.config.ConfirmationAge() > c.host.settings.ConfigApply {
 		c.refuse("configuration is not confirmed")
 		return false
@@ -159,7 +159,7 @@
 	c.host.metrics.Tagged(map[string]string{"why": why}).Counter("refusals").Inc(1)
 	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds()}).
 		Info("refused")
-	c.w.Header().Set("Retry-After", strconv.Itoa(retrySoon))
+	c.w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	c.answer(http.StatusServiceUnavailable, nil)
 }
 
@@ -181,7 +181,7 @@
 // of every host.
 func (c *call) submit() {
 	began := boottime.Now()
-	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, cmp.Or(c.config.Limits.MaxBodyBytes, defaultBodyBytes)))
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, cmp.Or(c.config.Limits.MaxBodyBytes, defaultMaxBodyBytes)))
 	if err != nil {
 		c.answer(http.StatusRequestEntityTooLarge, nil)
 		return
@@ -194,7 +194,7 @@
 	}
 	job.Id, job.Queue, job.Workspace, job.Policy = c.job, c.queue.Name, c.owner, c.queue.Policy
 	job.AcceptedUnixMs = time.Now().UnixMilli()
-	if c.host.stopping.Load() && c.host.intakeLate() {
+	if c.host.stopping.Load() && c.host.tooLateForIntake() {
 		c.refuse("stopping")
 		return
 	}
@@ -218,9 +218,9 @@
 	appendUnknown               // may be in the log now or later
 )
 
-// appendRecord appends a record to the intake and notifies the leader of it. If the log does
-// not answer soon, other hosts are asked to append it as well; a record that is
-// appended twice counts once.
+// appendRecord appends a record to the intake and notifies the leader of it. If the
+// log does not answer soon, other hosts are asked to append it as well; a record that
+// is appended twice counts once.
 func (c *call) appendRecord(r *record.Intake) appendOutcome {
 	data, err := proto.Marshal(r)
 	if err != nil {
@@ -241,7 +241,7 @@
 	}
 	done := make(chan struct{})
 	p := c.host.intake.Write(data, func(logwriter.Kept) { close(done) })
-	wait := logPatience
+	wait := appendHedgeDelay
 	if !c.host.intake.Healthy() {
 		wait = 0
 	}
@@ -262,15 +262,15 @@
 	}
 	// The writer repeats the call that has the record until the log answers. If this
 	// host becomes isolated meanwhile, answer now, and the caller can retry elsewhere.
-	look := time.NewTicker(readinessCheckInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(readinessCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return appended
 		case <-c.ctx.Done():
 			return appendUnknown
-		case <-look.C:
+		case <-ticker.C:
 			if c.host.isolated() {
 				return appendUnknown
 			}
@@ -295,7 +295,7 @@
 // does not know is answered with 410 Gone. If the leader does not answer, the
 // cancellation is appended all the same.
 func (c *call) cancelJob() {
-	if state, ok := c.ask(); ok && state == region.StateUnknown {
+	if state, ok := c.jobState(); ok && state == region.StateUnknown {
 		c.answer(http.StatusGone, nil)
 		return
 	}
--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -17,15 +17,15 @@
 
 // manyHelpers returns a list of the given number of helpers. All have the same small
 // capacity, except for those whose indexes are in strong.
-func manyHelpers(hosts int, strong ...int) *helpers {
-	return manyHelpersOf(newHelpers(25e6), hosts, strong...)
+func manyHelpers(hosts int, large ...int) *helpers {
+	return manyHelpersOf(newHelpers(25e6), hosts, large...)
 }
 
-func manyHelpersOf(h *helpers, hosts int, strong ...int) *helpers {
+func manyHelpersOf(h *helpers, hosts int, large ...int) *helpers {
 	for i := range hosts {
 		h.recordPing(&hostrpc.PingRequest{Host: fmt.Sprintf("h%03d", i), Address: fmt.Sprintf("10.0.%d.%d:8180", i/250, i%250), MilliCpu: 200, LinkBps: 2e6, MemoryMib: 200})
 	}
-	for _, i := range strong {
+	for _, i := range large {
 		p := h.byName[fmt.Sprintf("h%03d", i)]
 		p.capacity = capacity{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}
 		p.rank = p.ratioTo(capacity{})
@@ -35,7 +35,7 @@
 
 // A leader of hundreds of hosts that sent all addresses to each of them several times a
 // second would saturate its link. The cost of pings must not grow with the hosts.
-func TestPingsOfManyHosts(t *testing.T) {
+func TestPingLoadIsBoundedWithManyHosts(t *testing.T) {
 	cost := func(hosts int) (perSecond float64, bytes int) {
 		h := manyHelpers(hosts)
 		resp := &hostrpc.PingResponse{Leading: true}
@@ -58,7 +58,7 @@
 
 // Without the bound, pings from eighteen hosts took a fifth of a leader's link of
 // 2 Mbit/s.
-func TestPingsOverANarrowLink(t *testing.T) {
+func TestPingLoadIsBoundedOnNarrowLink(t *testing.T) {
 	const linkBps = 250e3
 	h := manyHelpersOf(newHelpers(linkBps), 18)
 	resp := &hostrpc.PingResponse{}
@@ -70,24 +70,24 @@
 
 // Ping responses must rotate through all addresses. A host needs the address of some
 // other host when the leader is gone.
-func TestAddressesTakeTurns(t *testing.T) {
+func TestPingResponsesRotateAddresses(t *testing.T) {
 	h := manyHelpers(50)
-	told := make(map[string]bool)
+	sent := make(map[string]bool)
 	for range 50 {
 		resp := &hostrpc.PingResponse{}
 		h.fillPingResponse(resp)
 		for _, a := range resp.Hosts {
-			told[a] = true
+			sent[a] = true
 		}
 	}
-	if len(told) != 50 {
-		t.Errorf("%d of 50 addresses sent", len(told))
+	if len(sent) != 50 {
+		t.Errorf("%d of 50 addresses sent", len(sent))
 	}
 }
 
 // Without removal, an unreachable helper would be asked for advice until its pings are
 // overdue, which takes seconds in a large region.
-func TestHelperThatCannotBeReached(t *testing.T) {
+func TestUnreachableHelperIsRemovedUntilNextPing(t *testing.T) {
 	h := manyHelpers(3)
 	h.remove("h001")
 	if names := h.names(); len(names) != 3 {
@@ -101,18 +101,18 @@
 
 // Capacity covers CPU, link and memory: of two hosts with the same CPU, the one with the
 // wider link leads.
-func TestStrongestComeFirst(t *testing.T) {
+func TestSuccessorsAreOrderedByCapacity(t *testing.T) {
 	h := manyHelpers(90, 40, 70)
 	resp := &hostrpc.PingResponse{}
 	h.fillPingResponse(resp)
 	if len(resp.Successors) != maxSuccessors || resp.Successors[0] != "10.0.0.70:8180" || resp.Successors[1] != "10.0.0.40:8180" {
 		t.Errorf("successors %v", resp.Successors)
 	}
-	weak := capacity{milliCPU: 200, linkBps: 2e6, memoryMiB: 200}
-	if !h.hasLarger(weak) || h.hasLarger(capacity{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}) {
+	small := capacity{milliCPU: 200, linkBps: 2e6, memoryMiB: 200}
+	if !h.hasLarger(small) || h.hasLarger(capacity{milliCPU: 800, linkBps: 2e7, memoryMiB: 500}) {
 		t.Error("hand-over to a host that is no larger, or none to one that is")
 	}
-	if wide := (capacity{milliCPU: 200, linkBps: 2e7, memoryMiB: 200}); wide.ratioTo(weak) < handOverRatio || weak.ratioTo(wide) > 1 {
+	if wide := (capacity{milliCPU: 200, linkBps: 2e7, memoryMiB: 200}); wide.ratioTo(small) < handOverRatio || small.ratioTo(wide) > 1 {
 		t.Error("the bandwidth of the link is ignored")
 	}
 }
@@ -120,30 +120,30 @@
 // In a large region most hosts are small, and a small one is likely to detect the loss of
 // the leader first. It lacks the CPU and link to lead, and all work would wait until it has
 // handed over. It must ask a large host to claim instead.
-func TestSmallHostNominates(t *testing.T) {
-	f := newFleet(t, 2, 0, time.Hour)
+func TestSmallHostNominatesLargerSuccessor(t *testing.T) {
+	f := newTestRegion(t, 2, 0, time.Hour)
 	first := f.leader()
-	f.until("the leader knows the other", func() bool { return len(first.helpers.alive()) == 1 })
-	strong, small := f.otherThan(first), f.addWith("small", "limits.cpuShare=0.1")
-	f.until("the small host has read the claim", func() bool { claim, _ := small.election.newestClaim(); return claim != nil })
+	f.waitUntil("the leader knows the other", func() bool { return len(first.helpers.alive()) == 1 })
+	large, small := f.lastOther(first), f.addWith("small", "limits.cpuShare=0.1")
+	f.waitUntil("the small host has read the claim", func() bool { claim, _ := small.election.newestClaim(); return claim != nil })
 	_, fence := small.election.newestClaim()
 	small.election.mu.Lock()
-	small.election.successors = []string{"127.0.0.1:1", strong.settings.Control}
+	small.election.successors = []string{"127.0.0.1:1", large.settings.Control}
 	small.election.mu.Unlock()
-	f.until("the strong host leads", func() bool {
-		return small.election.nominate(context.Background(), fence) || strong.election.localLeader() != nil
+	f.waitUntil("the strong host leads", func() bool {
+		return small.election.nominate(context.Background(), fence) || large.election.localLeader() != nil
 	})
 	if small.election.localLeader() != nil {
 		t.Error("the small host leads")
 	}
-	if _, fence := strong.election.newestClaim(); strong.election.nominate(context.Background(), fence) {
+	if _, fence := large.election.newestClaim(); large.election.nominate(context.Background(), fence) {
 		t.Error("the leader nominated another host")
 	}
 }
 
 // Takeovers repeat if each new leader is considered gone before its first entries are
 // read. The election timeout grows with recent takeovers and shrinks again later.
-func TestTakeoversConverge(t *testing.T) {
+func TestElectionTimeoutGrowsWithRecentTakeovers(t *testing.T) {
 	e := newElection(New(platform.Settings{}, telemetry.Discard()))
 	now := time.Hour
 	e.recentClaims = []time.Duration{now}
@@ -170,7 +170,7 @@
 
 // A slow advice service must not remove the host that called it from the helpers: the host
 // would be listed again at its next ping, as a new one without history.
-func TestAdviceOutOfTimeKeepsItsHost(t *testing.T) {
+func TestAdviceTimeoutKeepsHelper(t *testing.T) {
 	timeout := connect.NewError(connect.CodeDeadlineExceeded, context.DeadlineExceeded)
 	gone := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
 	for _, tc := range []struct {
@@ -178,7 +178,7 @@
 		listed, notSent bool
 	}{{timeout, true, false}, {gone, false, true}} {
 		h := &Host{helpers: manyHelpers(2)}
-		if got := platform.IsNotSent(h.adviceFailed("h000", tc.err)); got != tc.notSent {
+		if got := platform.IsNotSent(h.classifyAdviceError("h000", tc.err)); got != tc.notSent {
 			t.Errorf("%v: not sent is %v, want %v", tc.err, got, tc.notSent)
 		}
 		if _, listed := h.helpers.address("h000"); listed != tc.listed {
--- a/host/host.go
+++ b/host/host.go
@@ -57,7 +57,7 @@
 	log         *logrus.Entry
 	metrics     tally.Scope
 	meter       *linkstats.Meter
-	load        *linkstats.Load
+	linkLoad    *linkstats.Load
 	tel         *telemetry.Telemetry
 
 	config      *configWatch
@@ -67,8 +67,8 @@
 	helpers     *helpers
 	peerContact peerContact
 	group       conc.WaitGroup
-	work        context.Context // canceled when the host has stopped
-	endWork     context.CancelFunc
+	runCtx      context.Context // canceled when the host has stopped
+	cancelRun   context.CancelFunc
 
 	stopping  atomic.Bool
 	stoppedAt atomic.Int64
@@ -80,13 +80,13 @@
 	client := platform.NewClient(s.Names, connsPerAddress, meter)
 	h := &Host{
 		settings: s, incarnation: newIncarnation(), client: client,
-		meter: meter, load: linkstats.NewLoad(meter, s.LinkBps),
+		meter: meter, linkLoad: linkstats.NewLoad(meter, s.LinkBps),
 		log: tel.Log, metrics: tel.Metrics, tel: tel,
 		helpers: newHelpers(s.LinkBps), peers: newPeers(platform.NewHTTPClient(connsPerAddress, meter)),
 	}
-	h.work, h.endWork = context.WithCancel(context.Background())
+	h.runCtx, h.cancelRun = context.WithCancel(context.Background())
 	h.config = &configWatch{client: client, log: h.log}
-	h.config.fetchFromPeers = h.configOfPeers
+	h.config.fetchFromPeers = h.fetchConfigFromPeers
 	h.config.logReadAt.Store(int64(boottime.Now() - time.Hour))
 	h.config.peerConfirmedAt.Store(int64(boottime.Now() - time.Hour))
 	h.config.confirmedAt.Store(int64(boottime.Now() - time.Hour))
@@ -112,31 +112,31 @@
 // Run serves until ctx ends or another producer replaces the intake writer, then
 // stops gracefully. It returns a *ListenError if a port cannot be opened.
 func (h *Host) Run(ctx context.Context) error {
-	defer h.endWork()
-	lost := make(chan struct{})
+	defer h.cancelRun()
+	intakeFailed := make(chan struct{})
 	servers, err := h.listen()
 	if err != nil {
 		return err
 	}
 	h.log.WithFields(logrus.Fields{"incarnation": h.incarnation, "front": h.settings.Front, "control": h.settings.Control}).Info("started")
-	h.group.Go(func() { h.config.run(h.work) })
-	h.group.Go(func() { h.syncKeepAlives(h.work, servers[0]) })
-	h.group.Go(func() { h.election.watchClaims(h.work) })
-	h.group.Go(func() { h.election.run(h.work) })
+	h.group.Go(func() { h.config.run(h.runCtx) })
+	h.group.Go(func() { h.syncKeepAlives(h.runCtx, servers[0]) })
+	h.group.Go(func() { h.election.watchClaims(h.runCtx) })
+	h.group.Go(func() { h.election.run(h.runCtx) })
 	h.group.Go(func() {
-		if err := h.intake.Run(h.work); err != nil && h.work.Err() == nil {
+		if err := h.intake.Run(h.runCtx); err != nil && h.runCtx.Err() == nil {
 			// Another producer wrote under this host's producer name. A new process has
 			// a new incarnation and with it a new name.
 			h.log.WithError(err).Error("intake writer failed; stopping")
-			close(lost)
+			close(intakeFailed)
 		}
 	})
 	select {
 	case <-ctx.Done():
-	case <-lost:
+	case <-intakeFailed:
 	}
 	h.stop(servers)
-	h.endWork()
+	h.cancelRun()
 	h.group.Wait()
 	h.log.Info("stopped")
 	return nil
@@ -160,9 +160,9 @@
 	}
 }
 
-// intakeLate reports whether too little of the grace period is left in a stop to
-// answer a new submission before the process ends.
-func (h *Host) intakeLate() bool {
+// tooLateForIntake reports whether too little of the grace period is left in a stop
+// to answer a new submission before the process ends.
+func (h *Host) tooLateForIntake() bool {
 	return boottime.Now()-time.Duration(h.stoppedAt.Load()) > h.settings.Grace-2*stopMargin
 }
 
@@ -188,7 +188,7 @@
 	front.HandleMethodNotAllowed = false
 	front.RedirectTrailingSlash = false
 	front.RedirectFixedPath = false
-	front.NotFound = http.HandlerFunc(h.front)
+	front.NotFound = http.HandlerFunc(h.serveCaller)
 	var servers []*http.Server
 	for _, p := range []struct {
 		address string
@@ -241,8 +241,8 @@
 			LogRetention: h.settings.LogRetention, StatusKept: h.settings.StatusRetention,
 			StartsPerS: startShare * float64(h.settings.LinkBps) / startBytes,
 		},
-		LinkLoad: func() float64 { return h.load.At(boottime.Now()) },
-		Config:   h.config.Config, Hosts: h.helpers.names, Advise: h.adviseFrom,
+		LinkLoad: func() float64 { return h.linkLoad.At(boottime.Now()) },
+		Config:   h.config.Config, Hosts: h.helpers.names, Advise: h.adviseThrough,
 		Log: h.log, Metrics: h.metrics.SubScope("leader"),
 	}
 }
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -9,13 +9,13 @@
 )
 
 // A job submitted to one host completes, and every host reports its state.
-func TestJobIsDoneAndKnownEverywhere(t *testing.T) {
-	f := newFleet(t, 3, 2, 50*time.Millisecond)
+func TestJobStateIsServedByEveryHost(t *testing.T) {
+	f := newTestRegion(t, 3, 2, 50*time.Millisecond)
 	if status, _ := f.call(f.hosts[1], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatalf("submission answered %d", status)
 	}
 	for _, m := range f.hosts {
-		f.until("the job is completed", func() bool { return f.completed(m, 1) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(m, 1) })
 	}
 	if status, _ := f.call(f.hosts[2], http.MethodGet, jobPath(99), "k1", ""); status != http.StatusGone {
 		t.Errorf("an unknown job answered %d", status)
@@ -27,17 +27,17 @@
 
 // A caller of another workspace that knows a job's id can neither read nor cancel the
 // job with its own key.
-func TestJobsOfOtherWorkspaces(t *testing.T) {
-	f := newFleet(t, 2, 1, 300*time.Millisecond)
+func TestJobIsHiddenFromOtherWorkspaces(t *testing.T) {
+	f := newTestRegion(t, 2, 1, 300*time.Millisecond)
 	for _, m := range f.hosts {
-		f.until("the configuration is read", func() bool { return m.config.Config() != nil })
+		f.waitUntil("the configuration is read", func() bool { return m.config.Config() != nil })
 	}
 	if status, _ := f.call(f.hosts[0], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted")
 	}
 	for _, m := range f.hosts {
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
-			f.until("the other workspace's key finds no job", func() bool {
+			f.waitUntil("the other workspace's key finds no job", func() bool {
 				status, _ := f.call(m, method, jobPath(1), "o1", "")
 				if status == http.StatusOK {
 					t.Fatalf("%s answered %d", method, status)
@@ -46,21 +46,21 @@
 			})
 		}
 	}
-	f.until("the job is completed", func() bool { return f.completed(f.hosts[1], 1) })
+	f.waitUntil("the job is completed", func() bool { return f.completed(f.hosts[1], 1) })
 }
 
 // A submission is appended to the log, but the log's answer is lost. The host repeats
 // the append with the same sequence number: the caller gets its answer, and the job is
 // in the log once and runs once.
-func TestLostAnswerOfAppend(t *testing.T) {
-	f := newFleet(t, 1, 1, 50*time.Millisecond)
+func TestAppendWithLostAnswerIsWrittenOnce(t *testing.T) {
+	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
 	before := len(f.store.Records("intake"))
 	m.door.LoseAnswers(1)
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatalf("submission answered %d", status)
 	}
-	f.until("the job is completed", func() bool { return f.completed(m, 1) })
+	f.waitUntil("the job is completed", func() bool { return f.completed(m, 1) })
 	if n := len(f.store.Records("intake")) - before; n != 1 {
 		t.Errorf("%d records of one submission, want 1", n)
 	}
@@ -74,27 +74,27 @@
 // A key is withdrawn while the log refuses one host. That host must learn of it from
 // another host. With its own configuration alone it would run requests with the
 // withdrawn key for as long as the log refuses it.
-func TestKeyWithdrawnWhileLogRefusesHost(t *testing.T) {
-	f := newFleet(t, 3, 1, 50*time.Millisecond)
-	var cut *member
-	f.until("a host that does not lead", func() bool {
+func TestWithdrawnKeyIsRefusedWhileLogRefusesHost(t *testing.T) {
+	f := newTestRegion(t, 3, 1, 50*time.Millisecond)
+	var refused *testHost
+	f.waitUntil("a host that does not lead", func() bool {
 		for _, m := range f.hosts {
 			if l := f.leader(); l != nil && m != l && m.config.Config() != nil && len(m.election.otherHosts(1)) > 0 {
-				cut = m
+				refused = m
 				return true
 			}
 		}
 		return false
 	})
-	cut.door.Refuse(true)
+	refused.door.Refuse(true)
 	// A read in flight when the log began to refuse may still return the new version.
-	f.until("no read of the log is in flight", func() bool { return cut.config.LogReadAge() > 2*configWait })
+	f.waitUntil("no read of the log is in flight", func() bool { return refused.config.LogReadAge() > 2*configWait })
 	f.configure(2, "k1")
-	f.until("the withdrawn key is refused", func() bool {
-		status, _ := f.call(cut, http.MethodGet, jobPath(1), "k2", "")
+	f.waitUntil("the withdrawn key is refused", func() bool {
+		status, _ := f.call(refused, http.MethodGet, jobPath(1), "k2", "")
 		return status == http.StatusUnauthorized
 	})
-	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
+	if status, _ := f.call(refused, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Errorf("a submission with a valid key answered %d at a host that the log refuses", status)
 	}
 }
@@ -103,11 +103,11 @@
 // its configuration anywhere must in the end refuse all keys, with the answer that the
 // request was not run.
 func TestUnconfirmedConfigurationRefusesKeys(t *testing.T) {
-	f := newFleet(t, 1, 1, 50*time.Millisecond)
+	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
-	f.until("the configuration is read", func() bool { return m.config.Config() != nil })
+	f.waitUntil("the configuration is read", func() bool { return m.config.Config() != nil })
 	m.door.Refuse(true)
-	f.until("keys are refused", func() bool {
+	f.waitUntil("keys are refused", func() bool {
 		status, _ := f.call(m, http.MethodGet, "/p/", "k1", "")
 		return status == http.StatusServiceUnavailable && m.config.ConfirmationAge() > m.settings.KeyRevocation-revocationMargin
 	})
@@ -117,23 +117,23 @@
 // successor's fencing token refuses them: the successor takes over the running job,
 // and its tasks run once.
 func TestStaleLeaderIsRefused(t *testing.T) {
-	f := newFleet(t, 2, 1, 300*time.Millisecond)
+	f := newTestRegion(t, 2, 1, 300*time.Millisecond)
 	first := f.leader()
-	f.until("the worker has seen the first leader", func() bool { return f.workers[0].Fence() > 0 })
+	f.waitUntil("the worker has seen the first leader", func() bool { return f.workers[0].Fence() > 0 })
 	old := f.workers[0].Fence()
 	if status, _ := f.call(first, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatalf("submission answered %d", status)
 	}
-	f.until("the job runs", func() bool { return len(f.starts()) == 2 })
+	f.waitUntil("the job runs", func() bool { return len(f.starts()) == 2 })
 	for _, m := range f.hosts {
 		if m != first {
 			_, fence := m.election.newestClaim()
-			m.election.claimLeadership(m.work, fence)
+			m.election.claimLeadership(m.runCtx, fence)
 		}
 	}
-	f.until("the worker has seen the second leader", func() bool { return f.workers[0].Fence() > old })
-	f.until("the first leader has stepped down", func() bool { return first.election.localLeader() == nil })
-	f.until("the job is completed", func() bool { return f.completed(first, 1) })
+	f.waitUntil("the worker has seen the second leader", func() bool { return f.workers[0].Fence() > old })
+	f.waitUntil("the first leader has stepped down", func() bool { return first.election.localLeader() == nil })
+	f.waitUntil("the job is completed", func() bool { return f.completed(first, 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
 			t.Errorf("task %s started %d times", task, n)
@@ -144,37 +144,37 @@
 // A worker crashes and returns at once under its old id, as a new incarnation that does
 // not know its earlier tasks. They must be started again, with a higher fencing token
 // than the earlier incarnation has seen.
-func TestNewLifeUnderOldID(t *testing.T) {
-	f := newFleet(t, 1, 1, 1500*time.Millisecond)
+func TestTasksRestartAfterWorkerReturnsUnderSameID(t *testing.T) {
+	f := newTestRegion(t, 1, 1, 1500*time.Millisecond)
 	m, w := f.hosts[0], f.workers[0]
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted")
 	}
-	f.until("the job runs", func() bool { return len(f.starts()) == 2 })
+	f.waitUntil("the job runs", func() bool { return len(f.starts()) == 2 })
 	old := w.Fence()
 	w.Restart()
-	f.until("the tasks are started again", func() bool {
-		again := 0
+	f.waitUntil("the tasks are started again", func() bool {
+		restarted := 0
 		for _, n := range f.starts() {
 			if n == 2 {
-				again++
+				restarted++
 			}
 		}
-		return again == 2
+		return restarted == 2
 	})
 	if w.Fence() <= old {
 		t.Errorf("fencing token %d in the new incarnation, %d in the old one", w.Fence(), old)
 	}
-	f.until("the job is completed", func() bool { return f.completed(m, 1) })
+	f.waitUntil("the job is completed", func() bool { return f.completed(m, 1) })
 }
 
 // A leader is stopped as planned while jobs run and arrive. Another host leads before
 // the process ends, every submission is accepted, and no task runs twice.
-func TestPlannedStopOfLeader(t *testing.T) {
-	f := newFleet(t, 3, 2, 100*time.Millisecond)
+func TestPlannedStopHandsOverLeadership(t *testing.T) {
+	f := newTestRegion(t, 3, 2, 100*time.Millisecond)
 	first := f.leader()
-	f.until("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
-	other := f.otherThan(first)
+	f.waitUntil("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
+	other := f.lastOther(first)
 	for n := range 40 {
 		if n == 10 {
 			first.stop()
@@ -187,9 +187,9 @@
 	if n := len(f.store.Records("claims")); n < 2 {
 		t.Errorf("%d claims after the leader stopped, want at least 2: no host took over", n)
 	}
-	f.until("another host leads", func() bool { l := f.leader(); return l != nil && l != first })
+	f.waitUntil("another host leads", func() bool { l := f.leader(); return l != nil && l != first })
 	for n := range 40 {
-		f.until("the job is completed", func() bool { return f.completed(other, n) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(other, n) })
 	}
 	for task, n := range f.starts() {
 		if n != 1 {
@@ -202,10 +202,10 @@
 // append of every other host has timed out. If such a host took its time-out for an
 // unreachable log, it would refuse to take over, and jobs would wait for seconds until
 // a host detected that there is no leader.
-func TestPlannedStopWhileTheLogIsSlow(t *testing.T) {
-	f := newFleet(t, 3, 2, 100*time.Millisecond)
+func TestPlannedStopHandsOverWhileLogIsSlow(t *testing.T) {
+	f := newTestRegion(t, 3, 2, 100*time.Millisecond)
 	first := f.leader()
-	f.until("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
+	f.waitUntil("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
 	const answerTime = 500 * time.Millisecond // longer than a log that was fast before may take without counting as unhealthy
 	for _, m := range f.hosts {
 		m.door.Slow(answerTime)
@@ -215,7 +215,7 @@
 			continue
 		}
 		m.intake.Write([]byte{}, func(logwriter.Kept) {})
-		f.until("its append times out", func() bool { return !m.intake.Healthy() })
+		f.waitUntil("its append times out", func() bool { return !m.intake.Healthy() })
 	}
 	first.stop()
 	<-first.done
@@ -228,30 +228,30 @@
 // partition could start no tasks, any successor would have the same problem, and
 // submissions would wait too. Both must continue in the next partition, and a later
 // leader must read the entries in the order they were written.
-func TestPartitionDown(t *testing.T) {
-	f := newFleet(t, 2, 1, 50*time.Millisecond)
+func TestAppendsContinueWithPartitionDown(t *testing.T) {
+	f := newTestRegion(t, 2, 1, 50*time.Millisecond)
 	m := f.leader()
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted")
 	}
-	f.until("the job is completed", func() bool { return f.completed(m, 1) })
+	f.waitUntil("the job is completed", func() bool { return f.completed(m, 1) })
 	f.store.Break("entries", 0, true)
 	f.store.Break("intake", 0, true)
 	if status, _ := f.call(m, http.MethodPost, jobPath(2), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted with a partition down")
 	}
-	f.until("the job is completed with a partition down", func() bool { return f.completed(m, 2) })
+	f.waitUntil("the job is completed with a partition down", func() bool { return f.completed(m, 2) })
 	f.store.Break("entries", 0, false)
 	f.store.Break("intake", 0, false)
 	first := f.leader()
 	for _, other := range f.hosts {
 		if other != first {
 			_, fence := other.election.newestClaim()
-			other.election.claimLeadership(other.work, fence)
+			other.election.claimLeadership(other.runCtx, fence)
 		}
 	}
-	f.until("the other host leads", func() bool { l := f.leader(); return l != nil && l != first })
-	f.until("both jobs are known", func() bool { return f.completed(m, 1) && f.completed(m, 2) })
+	f.waitUntil("the other host leads", func() bool { l := f.leader(); return l != nil && l != first })
+	f.waitUntil("both jobs are known", func() bool { return f.completed(m, 1) && f.completed(m, 2) })
 	for task, n := range f.starts() {
 		if n != 1 {
 			t.Errorf("task %s started %d times", task, n)
@@ -261,12 +261,12 @@
 
 // A larger host joins a region that a smaller one leads. The leadership must move to it,
 // because the leader's CPU determines how soon tasks start.
-func TestStrongestHostLeads(t *testing.T) {
-	f := newFleet(t, 1, 1, 50*time.Millisecond)
-	strong := f.addWith("strong", "limits.cpuShare=4\n")
-	f.until("the strong host leads", func() bool { return f.leader() == strong })
+func TestLeadershipMovesToLargerHost(t *testing.T) {
+	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
+	large := f.addWith("strong", "limits.cpuShare=4\n")
+	f.waitUntil("the strong host leads", func() bool { return f.leader() == large })
 	if status, _ := f.call(f.hosts[0], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted")
 	}
-	f.until("the job is completed", func() bool { return f.completed(strong, 1) })
+	f.waitUntil("the job is completed", func() bool { return f.completed(large, 1) })
 }
--- a/host/keep.go
+++ b/host/keep.go
@@ -45,7 +45,7 @@
 // appendThroughPeers asks other hosts concurrently to append a record. One success is
 // enough, and a record that is appended twice counts once.
 func (h *Host) appendThroughPeers(ctx context.Context, data []byte) appendOutcome {
-	addresses := h.election.otherHosts(peerTries)
+	addresses := h.election.otherHosts(maxPeerCalls)
 	outcomes := make(chan appendOutcome, len(addresses))
 	ctx, cancel := context.WithCancel(ctx)
 	var calls conc.WaitGroup
@@ -112,15 +112,15 @@
 // leads, the call runs in the background, and is skipped once this host has stopped.
 func (h *Host) notifyLeader(r *record.Intake, data []byte) {
 	if l := h.election.localLeader(); l != nil {
-		l.Kept(h.work, r)
+		l.Kept(h.runCtx, r)
 		return
 	}
 	claim, _ := h.election.newestClaim()
-	if claim == nil || h.work.Err() != nil {
+	if claim == nil || h.runCtx.Err() != nil {
 		return
 	}
 	h.group.Go(func() {
-		ctx, cancel := context.WithTimeout(h.work, notifyTimeout)
+		ctx, cancel := context.WithTimeout(h.runCtx, notifyTimeout)
 		defer cancel()
 		if _, err := h.peers.leader(claim.Address).Kept(ctx, newRequest(&hostrpc.KeptRequest{Record: data})); err != nil {
 			h.metrics.Counter("leader_not_told").Inc(1)
--- a/host/peers.go
+++ b/host/peers.go
@@ -20,37 +20,37 @@
 // peers holds the RPC clients for other hosts.
 type peers struct {
 	leaders clients[hostrpc.LeaderClient]
-	helps   clients[hostrpc.HelperClient]
+	helpers clients[hostrpc.HelperClient]
 }
 
 func newPeers(client *http.Client) *peers {
 	return &peers{
-		leaders: clients[hostrpc.LeaderClient]{make: func(url string) hostrpc.LeaderClient { return hostrpc.NewLeaderClient(client, url) }},
-		helps:   clients[hostrpc.HelperClient]{make: func(url string) hostrpc.HelperClient { return hostrpc.NewHelperClient(client, url) }},
+		leaders: clients[hostrpc.LeaderClient]{newClient: func(url string) hostrpc.LeaderClient { return hostrpc.NewLeaderClient(client, url) }},
+		helpers: clients[hostrpc.HelperClient]{newClient: func(url string) hostrpc.HelperClient { return hostrpc.NewHelperClient(client, url) }},
 	}
 }
 
-func (p *peers) leader(address string) hostrpc.LeaderClient { return p.leaders.of(address) }
-func (p *peers) helper(address string) hostrpc.HelperClient { return p.helps.of(address) }
+func (p *peers) leader(address string) hostrpc.LeaderClient { return p.leaders.get(address) }
+func (p *peers) helper(address string) hostrpc.HelperClient { return p.helpers.get(address) }
 
 // clients creates and reuses one client per address.
 type clients[C any] struct {
-	make func(url string) C
+	newClient func(url string) C
 
-	mu sync.Mutex
-	by map[string]C
+	mu        sync.Mutex
+	byAddress map[string]C
 }
 
-func (c *clients[C]) of(address string) C {
+func (c *clients[C]) get(address string) C {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	client, ok := c.by[address]
+	client, ok := c.byAddress[address]
 	if !ok {
-		client = c.make("http://" + address)
-		if c.by == nil {
-			c.by = make(map[string]C)
+		client = c.newClient("http://" + address)
+		if c.byAddress == nil {
+			c.byAddress = make(map[string]C)
 		}
-		c.by[address] = client
+		c.byAddress[address] = client
 	}
 	return client
 }
@@ -78,8 +78,8 @@
 	if l == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading)
 	}
-	state, workspace, sure := l.State(req.Msg.Job)
-	if !sure {
+	state, workspace, upToDate := l.State(req.Msg.Job)
+	if !upToDate {
 		return nil, connect.NewError(connect.CodeUnavailable, errNotLeading)
 	}
 	return connect.NewResponse(&hostrpc.StateResponse{State: int32(state), Workspace: workspace}), nil
@@ -93,8 +93,8 @@
 	if l == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNotLeading)
 	}
-	n, sure := l.Pending(req.Msg.Queue)
-	if !sure {
+	n, loaded := l.Pending(req.Msg.Queue)
+	if !loaded {
 		return nil, connect.NewError(connect.CodeUnavailable, errNotLeading)
 	}
 	return connect.NewResponse(&hostrpc.PendingResponse{Jobs: n}), nil
@@ -119,7 +119,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-var errLogAway = errors.New("this host cannot reach the log")
+var errLogUnreachable = errors.New("this host cannot reach the log")
 
 // Config implements hostrpc.HelperHandler. It returns the version and age of the
 // configuration, and the configuration itself if it is newer than the caller's. It
@@ -127,7 +127,7 @@
 func (h *Host) Config(_ context.Context, req *connect.Request[hostrpc.ConfigRequest]) (*connect.Response[hostrpc.ConfigResponse], error) {
 	config, raw := h.config.Config(), h.config.rawConfig.Load()
 	if config == nil || raw == nil {
-		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
+		return nil, connect.NewError(connect.CodeUnavailable, errLogUnreachable)
 	}
 	resp := &hostrpc.ConfigResponse{Version: config.Version, AgeMs: h.config.ConfirmationAge().Milliseconds()}
 	if config.Version > req.Msg.Version {
@@ -139,32 +139,32 @@
 // peerTimeout bounds a call in which another host uses the log on this host's behalf.
 const peerTimeout = 400 * time.Millisecond
 
-// peerTries is the largest number of hosts that one operation calls.
-const peerTries = 2
+// maxPeerCalls is the largest number of hosts that one operation calls.
+const maxPeerCalls = 2
 
-// configOfPeers asks other hosts, one after another, for the configuration. have is
-// the version that this host has; 0 for none.
-func (h *Host) configOfPeers(ctx context.Context, have int64) (peerConfig, error) {
-	var last error = errNoPeers
+// fetchConfigFromPeers asks other hosts, one after another, for the configuration.
+// have is the version that this host has; 0 for none.
+func (h *Host) fetchConfigFromPeers(ctx context.Context, have int64) (peerConfig, error) {
+	var lastErr error = errNoPeers
 	defer func() {
-		if last != nil {
+		if lastErr != nil {
 			h.peerContact.failed()
 		}
 	}()
-	for _, address := range h.election.otherHosts(peerTries) {
+	for _, address := range h.election.otherHosts(maxPeerCalls) {
 		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 		resp, err := h.peers.helper(address).Config(callCtx, newRequest(&hostrpc.ConfigRequest{Version: have}))
 		cancel()
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		h.peerContact.succeeded()
-		last = nil
+		lastErr = nil
 		m := resp.Msg
 		return peerConfig{version: m.Version, age: time.Duration(m.AgeMs) * time.Millisecond, raw: m.Config}, nil
 	}
-	return peerConfig{}, last
+	return peerConfig{}, lastErr
 }
 
 var errNoPeers = errors.New("no other host is known")
@@ -183,19 +183,19 @@
 	// An unanswered append by this host does not count against it: if the log is slow
 	// for everyone, every helper would refuse and the region would have no leader for
 	// seconds. The reads here and the claim itself show whether the log is reachable.
-	if h.config.LogReadAge() > logContactLife || !h.election.watcher.Reachable(ctx) {
-		return nil, connect.NewError(connect.CodeUnavailable, errLogAway)
+	if h.config.LogReadAge() > maxLogReadAge || !h.election.watcher.Reachable(ctx) {
+		return nil, connect.NewError(connect.CodeUnavailable, errLogUnreachable)
 	}
 	h.log.WithField("fence", req.Msg.Fence).Info("asked to take over")
-	if !h.election.claimLeadership(h.work, req.Msg.Fence) {
+	if !h.election.claimLeadership(h.runCtx, req.Msg.Fence) {
 		return nil, connect.NewError(connect.CodeUnavailable, errNotLeading)
 	}
 	return connect.NewResponse(&hostrpc.TakeOverResponse{}), nil
 }
 
-// logContactLife is the largest age of a host's newest read of the log with which it
+// maxLogReadAge is the largest age of a host's newest read of the log with which it
 // takes over: a read waits for most of a second.
-const logContactLife = 2 * time.Second
+const maxLogReadAge = 2 * time.Second
 
 var errStopping = errors.New("this host is stopping")
 
@@ -207,10 +207,10 @@
 	})
 }
 
-// adviseFrom calls the advice service from the host that a names; an empty name
+// adviseThrough calls the advice service from the host that a names; an empty name
 // stands for this host. The error is a *platform.NotSentError if the service was
 // certainly not called.
-func (h *Host) adviseFrom(ctx context.Context, timeout time.Duration, a region.Advise) ([]model.Ticket, error) {
+func (h *Host) adviseThrough(ctx context.Context, timeout time.Duration, a region.Advise) ([]model.Ticket, error) {
 	step := platform.StepName(a.Job, a.Occurrence, a.Step)
 	if a.Host == "" {
 		return h.client.Advise(ctx, timeout, step, a.Workers)
@@ -225,7 +225,7 @@
 		Step: step, Workers: a.Workers, TimeoutMs: timeout.Milliseconds(),
 	}))
 	if err != nil {
-		return nil, h.adviceFailed(a.Host, err)
+		return nil, h.classifyAdviceError(a.Host, err)
 	}
 	tickets := make([]model.Ticket, 0, len(resp.Msg.Tickets))
 	for _, t := range resp.Msg.Tickets {
@@ -234,10 +234,10 @@
 	return tickets, nil
 }
 
-// adviceFailed classifies the error of an advice call made through another host. A
-// time-out is attributed to the advice service, not to the host, so the host stays
-// on the list. Any other error that the host did not return itself removes it.
-func (h *Host) adviceFailed(host string, err error) error {
+// classifyAdviceError classifies the error of an advice call made through another
+// host. A time-out is attributed to the advice service, not to the host, so the host
+// stays on the list. Any other error that the host did not return itself removes it.
+func (h *Host) classifyAdviceError(host string, err error) error {
 	wrapped := errors.Wrap(err, "advice call through another host")
 	switch connect.CodeOf(err) {
 	case connect.CodeDeadlineExceeded, connect.CodeCanceled:
--- a/host/reload.go
+++ b/host/reload.go
@@ -12,20 +12,20 @@
 	"github.com/fireflyfold/fireflyfold/platform"
 )
 
-// settingsEvery is the interval between reads of the settings file. It detects
+// settingsReadInterval is the interval between reads of the settings file. It detects
 // changes that are not announced by a signal.
-const settingsEvery = 2 * time.Second
+const settingsReadInterval = 2 * time.Second
 
-// watchSettings rereads the settings on SIGHUP and every settingsEvery, and logs
-// whether they changed. The addresses of this process and of the platform stay in
+// watchSettings rereads the settings on SIGHUP and every settingsReadInterval, and
+// logs whether they changed. The addresses of this process and of the platform stay in
 // force until the next start, because listeners and connections depend on them.
 func (h *Host) watchSettings(ctx context.Context, path string) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsReadInterval)
 	defer ticker.Stop()
-	known := h.settings
+	current := h.settings
 	for {
 		signalled := false
 		select {
@@ -40,9 +40,9 @@
 			h.log.WithError(err).Error("settings rejected; keeping the earlier ones")
 			continue
 		}
-		if signalled || next != known {
-			h.log.WithFields(logrus.Fields{"signal": signalled, "changed": next != known}).Info("settings read again")
-			known = next
+		if signalled || next != current {
+			h.log.WithFields(logrus.Fields{"signal": signalled, "changed": next != current}).Info("settings read again")
+			current = next
 		}
 	}
 }
