--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -8,7 +8,7 @@
 // A task is done, its worker lists the end, and the answer that tells of it waits in the
 // leader's own full link for longer than the lease. The leader took the run for dead and
 // started the task again. It waits for the worker as long as its link is full, but no
-// longer than congestedPatience: the worker may really be gone.
+// longer than maxExpiryDelay: the worker may really be gone.
 func TestLeaseThatEndsWhileTheLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
@@ -16,7 +16,7 @@
 		for len(w.sched.order[0].runs) == 0 || w.sched.order[0].runs[0].phase != phaseRunning {
 			w.run(5 * time.Millisecond)
 		}
-		w.workers["w0"].cut = true
+		w.workers["w0"].unreachable = true
 		over := w.sched.order[0].lapsesAt()
 		w.linkLoad = load
 		for at := w.now; w.now < at+10*time.Second; w.run(5 * time.Millisecond) {
@@ -30,7 +30,7 @@
 	if got := lostAfter(0); got > time.Second {
 		t.Errorf("lost %v after the end of its lease with the link free", got)
 	}
-	if got := lostAfter(1); got < congestedPatience/2 || got > congestedPatience+time.Second {
-		t.Errorf("lost %v after the end of its lease with the link full, want some %v", got, congestedPatience)
+	if got := lostAfter(1); got < maxExpiryDelay/2 || got > maxExpiryDelay+time.Second {
+		t.Errorf("lost %v after the end of its lease with the link full, want some %v", got, maxExpiryDelay)
 	}
 }
--- a/region/end.go
+++ b/region/end.go
@@ -5,45 +5,45 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// abandon ends a run that left no end of its own, or holds it while a start of it may come
+// abandon ends a run whose worker reported no end, or keeps it while it may still start
 // late.
 func (s *Scheduler) abandon(r *run, why string) {
-	if s.inDoubt(r) {
-		s.keepInDoubt(r, why)
+	if s.mayStartLate(r) {
+		s.awaitLateStart(r, why)
 		return
 	}
-	s.lose(r, why)
+	s.markLost(r, why)
 }
 
-// lose ends a run that left no end of its own. It counts as no attempt.
-func (s *Scheduler) lose(r *run, why string) {
+// markLost ends a run whose worker reported no end. It does not count as an attempt.
+func (s *Scheduler) markLost(r *run, why string) {
 	t := r.task
 	s.explain(t.step.job.rec.Id, "run lost", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", t.step.index}, Field{"task", t.index}, Field{"run", r.number},
-		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.lookedAt).Milliseconds()})
+		Field{"phase", int(r.phase)}, Field{"looked_ms_ago", (s.now - r.worker.probedAt).Milliseconds()})
 	s.release(r)
-	s.endOf(t, r.number, record.Outcome_OUTCOME_LOST, "")
+	s.recordEnd(t, r.number, record.Outcome_OUTCOME_LOST, "")
 	s.breakGang(t, r.number)
 	s.publish(t.step.job)
 }
 
-// endOf keeps an end and counts it.
-func (s *Scheduler) endOf(t *task, number int32, outcome record.Outcome, checkpoint string) {
+// recordEnd appends the end of a run to the log and applies it.
+func (s *Scheduler) recordEnd(t *task, number int32, outcome record.Outcome, checkpoint string) {
 	s.append(&record.Entry{Kind: &record.Entry_Ended{Ended: &record.Ended{
 		Task: t.id().Record(), Run: number, Outcome: outcome, Checkpoint: checkpoint,
 	}}})
 	s.countEnd(t, number, outcome, checkpoint)
 }
 
-// endsAs reports whether an end of that kind is the task's last: one that lasts
-// is started again however it ends.
-func (t *task) endsAs(outcome record.Outcome) bool {
+// isFinal reports whether the outcome completes the task. A long-running task is started
+// again after any outcome.
+func (t *task) isFinal(outcome record.Outcome) bool {
 	return outcome == record.Outcome_OUTCOME_DONE && !t.step.rec.LongRunning
 }
 
 // runEnded applies an end that a worker lists.
 func (s *Scheduler) runEnded(w *worker, e model.End) {
-	t := s.find(e.Task)
+	t := s.findTask(e.Task)
 	if t == nil {
 		return
 	}
@@ -53,45 +53,45 @@
 	}
 	if r != nil && r.number == e.Run && r.worker == w {
 		s.learn(r, e.Outcome)
-		r.calls.seen()
-		if e.Outcome != record.Outcome_OUTCOME_DONE && e.Outcome != record.Outcome_OUTCOME_FAILED && s.inDoubt(r) {
-			s.keepInDoubt(r, "its worker lists its end")
+		r.calls.runListed()
+		if e.Outcome != record.Outcome_OUTCOME_DONE && e.Outcome != record.Outcome_OUTCOME_FAILED && s.mayStartLate(r) {
+			s.awaitLateStart(r, "its worker lists its end")
 			return
 		}
 		s.release(r)
 		r = nil
 	}
-	if e.Run <= t.endedRun && (!t.endsAs(e.Outcome) || t.done) {
+	if e.Run <= t.endedRun && (!t.isFinal(e.Outcome) || t.done) {
 		return
 	}
 	t.lastRun = max(t.lastRun, e.Run)
-	s.endOf(t, e.Run, e.Outcome, e.Checkpoint)
+	s.recordEnd(t, e.Run, e.Outcome, e.Checkpoint)
 	if e.Outcome == record.Outcome_OUTCOME_FAILED {
 		s.explain(e.Task.Job, "run failed", Field{"worker", w.entry.ID}, Field{"step", e.Task.Step},
 			Field{"task", e.Task.Index}, Field{"run", e.Run}, Field{"attempts", t.attempts})
 	}
-	if t.endsAs(e.Outcome) {
+	if t.isFinal(e.Outcome) {
 		if r != nil {
 			s.stopRun(r, "an earlier run is done")
 		}
 		s.gangDone(t, e.Run)
 		return
 	}
-	if e.Alone {
+	if e.GangTimedOut {
 		s.explain(e.Task.Job, "gang member ended alone", Field{"step", e.Task.Step}, Field{"task", e.Task.Index}, Field{"run", e.Run})
 	}
 	s.breakGang(t, e.Run)
 }
 
-// countEnd counts the end of a run towards its task and job.
+// countEnd applies the end of a run to its task and job.
 func (s *Scheduler) countEnd(t *task, number int32, outcome record.Outcome, checkpoint string) {
 	first := number > t.endedRun
 	t.endedRun = max(t.endedRun, number)
 	if checkpoint != "" {
-		s.saved(t, checkpoint)
+		s.saveCheckpoint(t, checkpoint)
 	}
 	switch {
-	case t.endsAs(outcome):
+	case t.isFinal(outcome):
 		s.taskDone(t)
 	case outcome == record.Outcome_OUTCOME_FAILED && first:
 		s.countFailure(t)
@@ -102,7 +102,7 @@
 	s.dirty = true
 }
 
-// countFailure uses up an attempt; a gang has its attempts in common.
+// countFailure uses up an attempt. The members of a gang share their attempts.
 func (s *Scheduler) countFailure(t *task) {
 	if t.step.rec.LongRunning {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// saved remembers a checkpoint; any member's is valid for its gang.
-func (s *Scheduler) saved(t *task, checkpoint string) {
+// saveCheckpoint stores a checkpoint; that of one member is valid for the whole gang.
+func (s *Scheduler) saveCheckpoint(t *task, checkpoint string) {
 	if !t.step.rec.Gang {
 		t.checkpoint = checkpoint
 		return
--- a/region/run.go
+++ b/region/run.go
@@ -10,59 +10,61 @@
 )
 
 const (
-	// startTries is how often a start without an answer is sent before it is
+	// maxStartAttempts is how often a start is sent without an answer before the run is
 	// stopped instead.
-	startTries = 4
+	maxStartAttempts = 4
 	// startRetry is the pause before a start is sent again.
 	startRetry = 30 * time.Millisecond
 	// stopRetry is the pause before a stop is sent again.
 	stopRetry = 300 * time.Millisecond
 )
 
-// phase is how far a run is.
+// phase is the state of a run.
 type phase int
 
 const (
-	phaseLogging   phase = iota // its record is on its way to the log
-	phaseSending                // its start is on its way to the worker
+	phaseLogging   phase = iota // its record is being appended to the log
+	phaseSending                // its start call is in flight
 	phaseRunning                // the worker has it
-	phaseStopping               // a stop is on its way to the worker
+	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseInDoubt                // over as far as is known, but a start of it may come late
+	phaseLateStart              // over otherwise, but a start call may still be executed
 )
 
 // run is one run of a task that may be alive.
 type run struct {
-	task      *task
-	number    int32
-	worker    *worker
-	ref       model.WorkerRef // the worker's life that it was assigned to
-	phase     phase
-	room      model.Resources
-	pressing  bool // counted as such among its worker's runs
-	ticket    string
-	assigned  time.Duration
-	startedAt time.Duration // when the worker was known to have it
-	endsAt    time.Duration // when it is expected to end
-	leaseTo   int64         // end of the lease that its start grants, on the worker's clock
-	maybeSent bool          // a start got no answer: it may be carried out yet
-	settledAt time.Duration // a look sent later that does not list it proves that it is over; 0 for not settled
-	tries     int
-	calls     startCalls // that asked for it
-	percent   int
-	movedAt   time.Duration // when percent last changed
+	task            *task
+	number          int32
+	worker          *worker
+	ref             model.WorkerRef // the worker, and its incarnation, that it was assigned to
+	phase           phase
+	room            model.Resources
+	pressing        bool // counted as pressing in its worker's runCounts
+	ticket          string
+	assigned        time.Duration
+	startedAt       time.Duration // when the worker was known to have it
+	endsAt          time.Duration // when it is expected to end
+	leaseUntil      int64         // end of the lease that its start grants, on the worker's clock
+	startUnanswered bool          // a start got no answer and may still be executed
+	settledAt       time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
+	startAttempts   int
+	calls           startCalls
+	percent         int
+	movedAt         time.Duration // when percent last changed
 }
 
-// target returns where orders about the run go. Its worker's address may have
-// become known only after the run was inherited.
+// target returns the worker to which calls about the run are sent. The address is that of
+// the worker's entry, which may be read only after the run was inherited.
 func (r *run) target() model.WorkerRef {
 	return model.WorkerRef{ID: r.ref.ID, Address: r.worker.entry.Address, BornUnix: r.ref.BornUnix}
 }
 
+// settledBefore reports whether the run is over if a probe that was sent then does not
+// list it.
 func (r *run) settledBefore(sentAt time.Duration) bool {
 	if r.phase == phaseInherited {
-		// The worker has seen our fencing token with the first look, so that no
-		// start of a predecessor can arrive any more.
+		// The first probe has brought this leader's fencing token to the worker, which
+		// refuses starts of earlier leaders since.
 		return true
 	}
 	return r.settledAt > 0 && sentAt > r.settledAt
@@ -81,8 +83,8 @@
 	return out
 }
 
-// room returns what a task of the step takes from a worker. A step that fills
-// takes the processors that others leave.
+// room returns the resources that a task of the step reserves on a worker. A step with
+// Fills reserves no CPU and uses what others leave idle.
 func (st *step) room() model.Resources {
 	r := st.request
 	if st.rec.Fills {
@@ -91,7 +93,7 @@
 	return r
 }
 
-// occupy counts a run as alive.
+// occupy counts a run and its resources on its worker and in its workspace.
 func (s *Scheduler) occupy(r *run) {
 	t := r.task
 	r.room = t.step.room()
@@ -105,7 +107,7 @@
 	s.used[ws] = s.used[ws].Add(t.step.request)
 }
 
-// release counts a run as over.
+// release reverses occupy for a run that is over.
 func (s *Scheduler) release(r *run) {
 	t := r.task
 	if t.run != r {
@@ -114,15 +116,15 @@
 	t.run = nil
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
 	r.worker.counts.add(r.pressing, -1)
-	delete(r.worker.orders, r.id())
+	delete(r.worker.pendingOrders, r.id())
 	r.worker.used = r.worker.used.Sub(r.room)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Sub(t.step.request)
 	s.dirty = true
 }
 
-// assign gives a waiting task to a worker. The start is sent once the record is
-// kept, so that a successor knows of whatever may run.
+// assign places a waiting task on a worker. The start is sent once the assignment is in the
+// log, so that the next leader knows every run that may be alive.
 func (s *Scheduler) assign(t *task, w *worker, number int32) {
 	r := &run{task: t, number: number, worker: w, ref: w.ref(), phase: phaseLogging, assigned: s.now}
 	if mark := t.step.advice.mark(w); mark != nil {
@@ -134,47 +136,48 @@
 	s.afterKept(s.recordAssigned(r), func() { s.sendStart(r, 0) })
 }
 
-// recordAssigned keeps in which life of a worker a run may be alive.
+// recordAssigned appends the worker and its incarnation on which a run may be alive.
 func (s *Scheduler) recordAssigned(r *run) int64 {
 	return s.append(&record.Entry{Kind: &record.Entry_Assigned{Assigned: &record.Assigned{
 		Task: r.task.id().Record(), Run: r.number, Worker: r.ref.ID, BornUnixMs: r.ref.BornUnix,
 	}}})
 }
 
-// sendStart sends the start of a run. A repeat grants no longer lease than the
-// first: on a worker that does not answer, each longer one would put off the time
-// at which the run is over for certain.
+// sendStart sends the start of a run. A retry grants the lease of the first attempt: on a
+// worker that does not answer, each longer lease would defer the time at which the run is
+// known to be over.
 func (s *Scheduler) sendStart(r *run, after time.Duration) {
 	if r.task.run != r || (r.phase != phaseLogging && r.phase != phaseSending) {
 		return
 	}
-	// The log may have taken longer than the ticket lasts: the worker would
+	// The append may have taken longer than the ticket is valid, and the worker would
 	// refuse the start.
 	if r.phase == phaseLogging && !r.task.step.ticketHolds(r.worker, s.now) {
 		s.abandon(r, "its ticket expired before its record was kept")
 		return
 	}
-	if r.leaseTo == 0 {
-		r.leaseTo = s.leaseEnd(r.worker)
+	if r.leaseUntil == 0 {
+		r.leaseUntil = s.grantLease(r.worker)
 	}
-	if r.leaseTo == 0 {
-		s.giveUp(r, "the log was not reached lately")
+	if r.leaseUntil == 0 {
+		s.abortStart(r, "the log was not reached lately")
 		return
 	}
 	r.phase = phaseSending
-	r.tries++
+	r.startAttempts++
 	r.calls.sent(s.now + after)
-	r.worker.orders.sent(r.id(), s.now+after)
-	s.emit(Start{After: after, Order: model.StartOrder{
+	r.worker.pendingOrders.sent(r.id(), s.now+after)
+	s.emit(Start{After: after, Order: model.StartRequest{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
-		Ticket: r.ticket, UntilMs: r.leaseTo, Fence: s.fenceOf(r.worker),
+		Ticket: r.ticket, UntilMs: r.leaseUntil, Fence: s.fenceOf(r.worker),
 	}})
 }
 
-// current returns the run that an answer is about, if it is still wanted.
-func (s *Scheduler) current(id model.RunID, ref model.WorkerRef) *run {
-	t := s.find(id.Task)
+// currentRun returns the run that an answer is about, or nil if it is no longer the task's
+// run on that worker.
+func (s *Scheduler) currentRun(id model.RunID, ref model.WorkerRef) *run {
+	t := s.findTask(id.Task)
 	if t == nil || t.run == nil || t.run.number != id.Run || t.run.ref.ID != ref.ID {
 		return nil
 	}
@@ -183,7 +186,7 @@
 
 func (s *Scheduler) startAnswered(ev StartAnswered) {
 	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.current(ev.Order.RunID, ev.Order.Worker)
+	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
 	if r == nil {
 		return
 	}
@@ -191,8 +194,8 @@
 		s.emit(Deposed{Worker: r.ref.ID})
 		return
 	}
-	if r.phase == phaseInDoubt && ev.Err == CallOK {
-		return // a later life has it: a look will list it
+	if r.phase == phaseLateStart && ev.Err == CallOK {
+		return // a later incarnation has the run, and a probe will list it
 	}
 	r.calls.answered(ev.Err)
 	if r.phase != phaseSending {
@@ -209,38 +212,38 @@
 	case CallOldRun:
 		r.settledAt = s.now
 	case CallNoAnswer:
-		r.maybeSent = true
+		r.startUnanswered = true
 		s.retryStart(r)
 	case CallNotSent:
 		s.retryStart(r)
 	case CallLate:
-		r.leaseTo = 0
+		r.leaseUntil = 0
 		s.retryStart(r)
 	case CallOtherLife, CallFenced:
-		s.otherLife(r.worker)
+		s.otherIncarnation(r.worker)
 	case CallRefused:
-		r.worker.pausedTo = s.now + unhealthyPause
+		r.worker.pausedUntil = s.now + unhealthyPause
 		r.worker.health.refused(s.now)
-		s.giveUp(r, "its worker refused")
+		s.abortStart(r, "its worker refused")
 	case CallNoRoom:
-		r.worker.pausedTo = s.now + unhealthyPause
-		s.giveUp(r, "its worker had no room")
+		r.worker.pausedUntil = s.now + unhealthyPause
+		s.abortStart(r, "its worker had no room")
 	case CallNoTicket:
 		r.task.step.advice.expire(r.worker)
-		s.giveUp(r, "the ticket did not hold")
+		s.abortStart(r, "the ticket did not hold")
 	}
 }
 
 func (s *Scheduler) retryStart(r *run) {
-	if r.tries < startTries {
+	if r.startAttempts < maxStartAttempts {
 		s.sendStart(r, startRetry)
 		return
 	}
-	r.worker.pausedTo = s.now + unhealthyPause
-	s.giveUp(r, "its worker did not answer")
+	r.worker.pausedUntil = s.now + unhealthyPause
+	s.abortStart(r, "its worker did not answer")
 }
 
-// confirm notes that the worker has the run.
+// confirm marks the run as running on its worker.
 func (s *Scheduler) confirm(r *run) {
 	r.phase = phaseRunning
 	r.startedAt = s.now
@@ -257,12 +260,12 @@
 	}
 }
 
-// giveUp ends a run that did not start. One that may have been sent is stopped
-// instead: the stop makes the worker refuse it if it comes later. Of a gang, the other
-// members are stopped at once: without it they would wait, and hold their room, until
-// the stop is settled.
-func (s *Scheduler) giveUp(r *run, why string) {
-	if r.maybeSent {
+// abortStart ends a run that did not start. If a start call may still be executed, the run
+// is stopped instead: after a stop, the worker refuses a late start of the run. The other
+// members of a gang are stopped at once. Otherwise they would wait, and keep their room,
+// until the stop is settled.
+func (s *Scheduler) abortStart(r *run, why string) {
+	if r.startUnanswered {
 		s.stopRun(r, why)
 		s.breakGang(r.task, r.number)
 		return
@@ -270,9 +273,9 @@
 	s.abandon(r, why)
 }
 
-// stopRun orders the end of a run. Its room is free when the end is listed.
+// stopRun sends a stop for a run. Its room is released when the worker lists the end.
 func (s *Scheduler) stopRun(r *run, why string) {
-	if r.phase == phaseStopping || r.phase == phaseInDoubt {
+	if r.phase == phaseStopping || r.phase == phaseLateStart {
 		return
 	}
 	s.explain(r.task.step.job.rec.Id, "run stopped", Field{"why", why}, Field{"worker", r.ref.ID},
@@ -287,15 +290,15 @@
 }
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
-	r.worker.orders.sent(r.id(), s.now+after)
-	s.emit(Stop{After: after, Order: model.StopOrder{
+	r.worker.pendingOrders.sent(r.id(), s.now+after)
+	s.emit(Stop{After: after, Order: model.StopRequest{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
 }
 
 func (s *Scheduler) stopAnswered(ev StopAnswered) {
 	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.current(ev.Order.RunID, ev.Order.Worker)
+	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
 	if r == nil || r.phase != phaseStopping {
 		return
 	}
@@ -305,7 +308,7 @@
 	case CallFenced:
 		s.emit(Deposed{Worker: r.ref.ID})
 	case CallOtherLife:
-		s.otherLife(r.worker)
+		s.otherIncarnation(r.worker)
 	default:
 		s.sendStop(r, stopRetry)
 	}
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -9,38 +9,39 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// strict is what a world keeps in addition when the platform is at its worst: calls
-// of every kind are carried out 2 to 12 s late, after their caller has given up;
-// a worker's next life begins after a while, with a clock and numbers of ends that
-// start anew and perhaps another size, and the host list tells of it later still.
+// strict is the additional state of a world with the platform's worst permitted faults:
+// calls of every kind are carried out 2 to 12 s late, after their caller has given up;
+// a worker restarts after a delay, with a new clock, new numbers of ends and possibly
+// another capacity, and the host list shows the new incarnation even later.
 type strict struct {
-	anyLife   bool                             // late calls outlive the life that they are for
-	ended     map[model.TaskID]bool            // has ended as done, noted or not
-	cancelled map[string]bool                  // cancellations that a scheduler was told
-	saves     map[model.TaskID]map[string]bool // checkpoints that a task has saved
+	lateCallsReachNext bool                             // late calls may reach a later incarnation than the one they were sent to
+	doneTasks          map[model.TaskID]bool            // has ended as done, recorded or not
+	cancelled          map[string]bool                  // jobs whose cancellation a scheduler has received
+	checkpoints        map[model.TaskID]map[string]bool // checkpoints that a task has saved
 }
 
 func newStrict() *strict {
 	return &strict{
-		ended: make(map[model.TaskID]bool), cancelled: make(map[string]bool),
-		saves: make(map[model.TaskID]map[string]bool),
+		doneTasks: make(map[model.TaskID]bool), cancelled: make(map[string]bool),
+		checkpoints: make(map[model.TaskID]map[string]bool),
 	}
 }
 
 const (
-	// strictCap is the workspace's cap, in thousandths of a core: two thirds of what
-	// the workers have.
+	// strictCap is the workspace's cap in milli-CPU: two thirds of the workers'
+	// capacity.
 	strictCap = 40_000
-	// strictOverage is how far it may be exceeded, beside one task.
-	strictOverage = 1.1
-	// saveEvery is how often a task saves its progress.
-	saveEvery = 500 * time.Millisecond
-	// callTimeout is how long a caller waits for a worker.
+	// strictCapTolerance is the factor by which usage may exceed the cap, in addition to
+	// one task.
+	strictCapTolerance = 1.1
+	// checkpointInterval is the interval between checkpoints of a task.
+	checkpointInterval = 500 * time.Millisecond
+	// callTimeout is how long a caller waits for a worker's answer.
 	callTimeout = 400 * time.Millisecond
-	// reportEvery is how often a worker writes its entry.
-	reportEvery = 1500 * time.Millisecond
-	// newConnection is one in how many calls a connection is made for.
-	newConnection = 8
+	// reportInterval is the interval at which a worker writes its host list entry.
+	reportInterval = 1500 * time.Millisecond
+	// callsPerConnection is the average number of calls per new connection.
+	callsPerConnection = 8
 )
 
 func (w *world) config() *model.Config {
@@ -51,167 +52,168 @@
 	return c
 }
 
-// ordered checks a start as the scheduler sends it.
-func (w *world) ordered(o model.StartOrder) {
+// checkNotCancelled fails the test if the scheduler sends a start after it has received the
+// job's cancellation.
+func (w *world) checkNotCancelled(o model.StartRequest) {
 	if w.strict != nil && w.strict.cancelled[o.Task.Job] {
 		w.fatal("started after its job was cancelled: %v run %d", o.Task, o.Run)
 	}
 }
 
-// canStart checks the promises beside those of started: what a step depends on, how
-// many of its tasks a worker may run, the workspace's cap, and the checkpoint.
-func (w *world) canStart(fw *fakeWorker, o model.StartOrder, j *record.Job) {
+// checkStrictStart checks the invariants of a start beyond those of recordStart: the step's
+// dependencies and anti-affinity, the workspace's cap, and the checkpoint.
+func (w *world) checkStrictStart(fw *fakeWorker, o model.StartRequest, j *record.Job) {
 	if w.strict == nil {
 		return
 	}
 	step := j.Steps[o.Task.Step]
-	for _, before := range step.DependsOn {
-		for i := range j.Steps[before].Count {
-			if !w.strict.ended[model.TaskID{Job: o.Task.Job, Step: before, Index: i}] {
-				w.fatal("started before step %d was done: %v run %d", before, o.Task, o.Run)
+	for _, dependency := range step.DependsOn {
+		for i := range j.Steps[dependency].Count {
+			if !w.strict.doneTasks[model.TaskID{Job: o.Task.Job, Step: dependency, Index: i}] {
+				w.fatal("started before step %d, on which it depends, was done: %v run %d", dependency, o.Task, o.Run)
 			}
 		}
 	}
-	together := int32(1)
+	sameStep := int32(1)
 	for other := range fw.runs {
 		if other != o.Task && other.Job == o.Task.Job && other.Step == o.Task.Step {
-			together++
+			sameStep++
 		}
 	}
-	if step.AntiAffinity > 0 && together > step.AntiAffinity {
-		w.fatal("%d tasks of a step on one worker, at most %d may be: %v run %d", together, step.AntiAffinity, o.Task, o.Run)
+	if step.AntiAffinity > 0 && sameStep > step.AntiAffinity {
+		w.fatal("%d tasks of a step on one worker, want at most %d: %v run %d", sameStep, step.AntiAffinity, o.Task, o.Run)
 	}
-	if running := w.running(); float64(running) > strictCap*strictOverage {
-		w.fatal("%d thousandths of a core run when one more starts, the cap is %d: %v", running, strictCap, o.Task)
+	if running := w.running(); float64(running) > strictCap*strictCapTolerance {
+		w.fatal("%d milli-CPU in use when another task starts, the cap is %d: %v", running, strictCap, o.Task)
 	}
-	if o.Checkpoint != "" && !w.strict.saves[o.Task][o.Checkpoint] {
-		w.fatal("started from a checkpoint that is not the task's: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
+	if o.Checkpoint != "" && !w.strict.checkpoints[o.Task][o.Checkpoint] {
+		w.fatal("started from a checkpoint that the task has not saved: %v run %d, %s", o.Task, o.Run, o.Checkpoint)
 	}
 }
 
-// running is what runs on all workers.
+// running returns the milli-CPU in use on all workers.
 func (w *world) running() int64 {
 	var sum int64
 	for _, name := range w.names {
 		fw := w.workers[name]
-		w.lapse(fw)
+		w.expireLease(fw)
 		for _, r := range fw.runs {
-			sum += r.room.MilliCPU
+			sum += r.request.MilliCPU
 		}
 	}
 	return sum
 }
 
-// isDone notes an end as done.
-func (w *world) isDone(id model.TaskID, number int32) {
+// recordDone records that a run has ended as done.
+func (w *world) recordDone(id model.TaskID, number int32) {
 	w.doneRuns[id] = number
 	if w.strict != nil {
-		w.strict.ended[id] = true
+		w.strict.doneTasks[id] = true
 	}
 }
 
-// save returns the newest checkpoint of a run. That of a gang is the same for all.
+// save returns the newest checkpoint of a run. A gang's is the same for all members.
 func (w *world) save(id model.TaskID, r *fakeRun) string {
 	j := w.job(id.Job)
 	if w.strict == nil || !j.Steps[id.Step].Checkpointing {
 		return ""
 	}
-	if n := (w.now - r.began) / saveEvery; n > 0 && !j.Steps[id.Step].Gang {
-		r.saved = fmt.Sprintf("%s.%d.%d run %d save %d", id.Job, id.Step, id.Index, r.number, n)
-		if w.strict.saves[id] == nil {
-			w.strict.saves[id] = make(map[string]bool)
+	if n := (w.now - r.startedAt) / checkpointInterval; n > 0 && !j.Steps[id.Step].Gang {
+		r.checkpoint = fmt.Sprintf("%s.%d.%d run %d save %d", id.Job, id.Step, id.Index, r.number, n)
+		if w.strict.checkpoints[id] == nil {
+			w.strict.checkpoints[id] = make(map[string]bool)
 		}
-		w.strict.saves[id][r.saved] = true
+		w.strict.checkpoints[id][r.checkpoint] = true
 	}
-	return r.saved
+	return r.checkpoint
 }
 
-// strictCall makes a call to a worker. One in time reaches the life that it names alone:
-// it goes out on a connection over which that life has answered. A late one gets no
-// answer in time and is carried out long after: if it ends with its connection, by the
-// same life or not at all, otherwise by whichever life is there then.
-func (w *world) strictCall(life int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
-	tell := func(after time.Duration, e CallError) { w.answer(life, after, func() Event { return event(e) }) }
-	w.at(after, func() {
+// strictCall makes a call to a worker. A call in time reaches only the incarnation that it
+// names: it uses a connection over which that incarnation has answered. A late call is not
+// answered in time and is carried out long afterwards: by the same incarnation or not at
+// all if it ends with its connection, otherwise by the incarnation that exists then.
+func (w *world) strictCall(generation int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
+	reply := func(after time.Duration, e CallError) { w.answer(generation, after, func() Event { return event(e) }) }
+	w.after(after, func() {
 		fw := w.workers[ref.ID]
 		switch {
-		case fw.cut:
-			tell(callTimeout, CallNoAnswer)
+		case fw.unreachable:
+			reply(callTimeout, CallNoAnswer)
 			return
 		case fw.down:
-			tell(testDelay, CallNotSent)
+			reply(testDelay, CallNotSent)
 			return
 		case fw.entry.BornUnix != ref.BornUnix:
-			tell(2*testDelay, CallOtherLife)
+			reply(2*testDelay, CallOtherLife)
 			return
-		case w.rng.IntN(newConnection) == 0 && w.late("proof") > 0:
-			tell(callTimeout, CallNotSent)
+		case w.rng.IntN(callsPerConnection) == 0 && w.callDelay("proof") > 0:
+			reply(callTimeout, CallNotSent)
 			return
 		}
-		late := w.late(name)
-		lost := late > 0 || w.lost(name)
+		late := w.callDelay(name)
+		lost := late > 0 || w.losesAnswer(name)
 		if lost {
-			tell(callTimeout, CallNoAnswer)
+			reply(callTimeout, CallNoAnswer)
 		}
-		w.at(testDelay+late, func() {
-			if fw.cut || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.anyLife) {
+		w.after(testDelay+late, func() {
+			if fw.unreachable || fw.down || fw.entry.BornUnix != ref.BornUnix && (late == 0 || !w.strict.lateCallsReachNext) {
 				if !lost {
-					tell(callTimeout, CallNoAnswer)
+					reply(callTimeout, CallNoAnswer)
 				}
 				return
 			}
 			if err := run(fw); !lost {
-				tell(testDelay, err)
+				reply(testDelay, err)
 			}
 		})
 	})
 }
 
-// rebirth ends a worker's life. The next one begins after a while under the same id
-// and address, and the host list tells of it later.
-func rebirth(w *world, fw *fakeWorker) {
+// crashWithDowntime ends a worker's incarnation. The next one starts after a delay under the same
+// ID and address, and the host list shows it later.
+func crashWithDowntime(w *world, fw *fakeWorker) {
 	if fw.down {
 		return
 	}
-	fw.endLife(w)
+	fw.clearState(w)
 	fw.down = true
 	if fw.listed == nil {
-		before := fw.entry
-		fw.listed = &before
+		earlier := fw.entry
+		fw.listed = &earlier
 	}
-	down := time.Duration(w.rng.Int64N(int64(2 * time.Second)))
-	told := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
+	downtime := time.Duration(w.rng.Int64N(int64(2 * time.Second)))
+	listingDelay := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 	if w.rng.IntN(4) == 0 { // long enough for its entry to expire
-		down += 5 * time.Second
-		w.at(4500*time.Millisecond, func() {
+		downtime += 5 * time.Second
+		w.after(4500*time.Millisecond, func() {
 			fw.listed = &model.WorkerEntry{}
-			w.tell(WorkerUnlisted{ID: fw.entry.ID})
+			w.deliver(WorkerUnlisted{ID: fw.entry.ID})
 		})
 	}
-	w.at(down, func() {
+	w.after(downtime, func() {
 		fw.down = false
 		fw.bornAt = w.now
 		fw.drift = float64(w.rng.IntN(20)) / 1000
 		fw.entry.BornUnix = w.now.Milliseconds()
 		fw.entry.Capacity.MilliCPU = 6000 + w.rng.Int64N(3)*1000
 		entry := fw.entry
-		w.at(told, func() { w.list(fw, entry) })
+		w.after(listingDelay, func() { w.list(fw, entry) })
 	})
 }
 
-// list writes a worker's entry into the host list. One that was held up until the next
-// life has written its own is put right with that life's next report.
+// list writes a worker's entry into the host list. A delayed entry of an earlier
+// incarnation is replaced by the next report of the present one.
 func (w *world) list(fw *fakeWorker, entry model.WorkerEntry) {
 	fw.listed = &entry
-	w.tell(WorkerListed{Entry: entry})
+	w.deliver(WorkerListed{Entry: entry})
 	if entry.BornUnix != fw.entry.BornUnix {
-		w.at(reportEvery, func() { w.list(fw, fw.entry) })
+		w.after(reportInterval, func() { w.list(fw, fw.entry) })
 	}
 }
 
-// Random histories on a platform at its worst. All promises of TestRandomHistories
-// are checked, and beside them what a step depends on, spread, caps, cancellations
-// and checkpoints.
+// Random histories with the platform's worst permitted faults. They check all invariants
+// of TestRandomHistories, and also dependencies, anti-affinity, caps, cancellations and
+// checkpoints.
 func TestStrictHistories(t *testing.T) {
 	const histories = 24
 	for seed := uint64(1); seed <= histories; seed++ {
@@ -222,24 +224,24 @@
 	}
 }
 
-// Guards against the late start of TestLateOrderReachesNextLife where, beside it, calls are up
-// to 12 s late, a worker's clock starts anew and the host list tells of a life late.
+// Guards against the late start of TestLateOrderReachesNextLife where, in addition, calls are
+// up to 12 s late, a worker's clock restarts and the host list shows an incarnation late.
 func TestStrictLateCallReachesNextLife(t *testing.T) {
 	for _, seed := range lateCallSeeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { strictHistory(t, seed, anyLife()) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { strictHistory(t, seed, newStrictLateCalls()) })
 	}
 	for i := range *seedCount {
-		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { strictHistory(t, *firstSeed+i, anyLife()) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { strictHistory(t, *firstSeed+i, newStrictLateCalls()) })
 	}
 }
 
-func anyLife() *strict {
+func newStrictLateCalls() *strict {
 	s := newStrict()
-	s.anyLife = true
+	s.lateCallsReachNext = true
 	return s
 }
 
-// lateCallSeeds have been red at some time.
+// lateCallSeeds are seeds that have failed at some time.
 var lateCallSeeds = []uint64{
 	60023, 60071, 60080, 60085, 60093, 60106, 60131, 60173, 60258, 60262, 60286, 60302, 60315, 60339,
 	60379, 60383, 60406, 60407, 60416, 60427, 60428, 60455, 60467, 60476, 60546, 60585, 60591, 60619,
@@ -253,15 +255,15 @@
 		fw := w.addWorker(fmt.Sprintf("w%d", i), 8)
 		fw.bornAt = w.now - time.Duration(w.rng.Int64N(int64(time.Minute)))
 	}
-	calm := false
-	w.mixed(&calm)
-	w.late = func(string) time.Duration {
-		if calm || w.rng.IntN(30) != 0 {
+	faultFree := false
+	w.randomizeTasks(&faultFree)
+	w.callDelay = func(string) time.Duration {
+		if faultFree || w.rng.IntN(30) != 0 {
 			return 0
 		}
 		return 2*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
 	}
-	w.lead()
+	w.startLeader()
 	var jobs []string
 	for i := range 400 {
 		w.run(50 * time.Millisecond)
@@ -273,13 +275,13 @@
 		if len(jobs) > 10 && w.rng.IntN(20) == 0 {
 			w.cancelStrict(jobs[len(jobs)-1-w.rng.IntN(10)])
 		}
-		disturb(w, 40, rebirth)
+		injectFault(w, 40, crashWithDowntime)
 	}
-	calm = true
+	faultFree = true
 	w.mustEnd(jobs)
 	for name, fw := range w.workers {
 		for id := range fw.runs {
-			w.fatal("%v runs on %s when all is over", id, name)
+			w.fatal("%v still runs on %s after all jobs have ended", id, name)
 		}
 	}
 }
@@ -295,7 +297,7 @@
 	return j
 }
 
-// cancelStrict cancels a job; from then on a scheduler that was told may not start it.
+// cancelStrict cancels a job. A scheduler that has received this may not start its tasks.
 func (w *world) cancelStrict(id string) {
 	w.cancel(id)
 	if w.sched != nil {
@@ -303,8 +305,8 @@
 	}
 }
 
-// told notes the cancellations that a new scheduler has read.
-func (s *strict) told(intake []*record.Intake) {
+// noteCancellations records the cancellations that a new scheduler reads from the intake.
+func (s *strict) noteCancellations(intake []*record.Intake) {
 	for _, r := range intake {
 		if id := r.GetCancelled(); id != "" {
 			s.cancelled[id] = true
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -9,19 +9,19 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// percent is the part of its run time that a run has had, unless the worker's tasks
-// hang. A gang's moves with time alone, as it begins to work only when all are there.
+// percent returns the progress of a run: 0 on a worker whose tasks hang. A gang member's
+// grows by 1 per 100 ms, since a gang's run time starts only when all members are present.
 func (fw *fakeWorker) percent(now time.Duration, r *fakeRun) int {
 	switch {
 	case fw.hangs:
 		return 0
-	case r.takes == 0:
-		return int((now - r.began) / (100 * time.Millisecond))
+	case r.runTime == 0:
+		return int((now - r.startedAt) / (100 * time.Millisecond))
 	}
-	return int(100 * (now - r.began) / r.takes)
+	return int(100 * (now - r.startedAt) / r.runTime)
 }
 
-// clock is the worker's steady clock, which starts anew in each life.
+// clock returns the worker's monotonic clock in ms. It restarts with each incarnation.
 func (fw *fakeWorker) clock(now time.Duration) int64 {
 	if fw.bornAt == 0 {
 		return now.Milliseconds() - 1000
@@ -29,12 +29,12 @@
 	return int64(float64((now - fw.bornAt).Milliseconds()) * (1 - fw.drift))
 }
 
-func (w *world) start(fw *fakeWorker, o model.StartOrder) CallError {
+func (w *world) start(fw *fakeWorker, o model.StartRequest) CallError {
 	if o.Fence < fw.fence {
 		return CallFenced
 	}
 	fw.fence = o.Fence
-	w.lapse(fw)
+	w.expireLease(fw)
 	if o.UntilMs < fw.clock(w.now) {
 		return CallLate
 	}
@@ -48,56 +48,56 @@
 	if until, ok := fw.tickets[o.Ticket]; o.Ticket != "" && (!ok || w.now > until) {
 		return CallNoTicket
 	}
-	w.started(fw, o)
+	w.recordStart(fw, o)
 	return CallOK
 }
 
-// started notes a start and checks the promises that a start can break.
-func (w *world) started(fw *fakeWorker, o model.StartOrder) {
+// recordStart records a start and checks the invariants that a start can violate.
+func (w *world) recordStart(fw *fakeWorker, o model.StartRequest) {
 	j := w.job(o.Task.Job)
 	if j == nil {
-		w.t.Fatalf("a task started that nobody submitted: %v", o.Task)
+		w.t.Fatalf("started a task that was never submitted: %v", o.Task)
 	}
 	for _, name := range w.names {
-		w.lapse(w.workers[name])
+		w.expireLease(w.workers[name])
 	}
-	if w.doneRuns[o.Task] > 0 && !w.lasting {
+	if w.doneRuns[o.Task] > 0 && !w.longRunning {
 		w.fatal("started again after it was done: %v run %d", o.Task, o.Run)
 	}
 	for id, other := range w.workers {
 		if _, alive := other.runs[o.Task]; alive && other.until >= other.clock(w.now) {
-			w.fatal("two runs at once: %v run %d on %s while on %s", o.Task, o.Run, fw.entry.ID, id)
+			w.fatal("two concurrent runs of a task: %v run %d on %s, another on %s", o.Task, o.Run, fw.entry.ID, id)
 		}
 	}
 	if n := w.failures[o.Task]; n >= int(j.Policy.MaxAttempts) && !j.Steps[o.Task.Step].LongRunning {
-		w.fatal("started after %d failures: %v", n, o.Task)
+		w.fatal("started after %d failed attempts: %v", n, o.Task)
 	}
 	step := j.Steps[o.Task.Step]
-	w.canStart(fw, o, j)
-	r := &fakeRun{number: o.Run, room: model.ResourcesOf(step.Request), began: w.now, saved: o.Checkpoint}
+	w.checkStrictStart(fw, o, j)
+	r := &fakeRun{number: o.Run, request: model.ResourcesOf(step.Request), startedAt: w.now, checkpoint: o.Checkpoint}
 	fw.runs[o.Task] = r
 	w.starts[o.Task]++
 	var used model.Resources
 	for _, x := range fw.runs {
-		used = used.Add(x.room)
+		used = used.Add(x.request)
 	}
 	if !used.Fits(fw.entry.Capacity) {
-		w.fatal("worker %s over capacity: %v of %v", fw.entry.ID, used, fw.entry.Capacity)
+		w.fatal("worker %s over capacity: uses %v of %v", fw.entry.ID, used, fw.entry.Capacity)
 	}
 	if step.Gang {
 		w.joinGang(fw, o.Task, r, step)
 		return
 	}
-	r.takes = w.runTime(o.Task) * max(1, fw.slow)
-	w.at(r.takes, func() {
-		w.lapse(fw)
+	r.runTime = w.runTime(o.Task) * max(1, fw.slowdown)
+	w.after(r.runTime, func() {
+		w.expireLease(fw)
 		if fw.runs[o.Task] == r && !fw.hangs {
 			w.finish(fw, o.Task)
 		}
 	})
 }
 
-// finish ends a run by itself.
+// finish ends a run whose run time is over, as done or failed.
 func (w *world) finish(fw *fakeWorker, id model.TaskID) {
 	number := fw.runs[id].number
 	if w.fails(id, number) {
@@ -105,13 +105,13 @@
 		w.end(fw, id, record.Outcome_OUTCOME_FAILED)
 		return
 	}
-	w.isDone(id, number)
+	w.recordDone(id, number)
 	w.end(fw, id, record.Outcome_OUTCOME_DONE)
 }
 
-// forgetEnd forgets an end that was not taken note of; the end of a gang's
-// member stands for all of them.
-func (w *world) forgetEnd(e model.End) {
+// discardEnd discards an end that the scheduler has not recorded. The end of one gang
+// member stands for the whole gang.
+func (w *world) discardEnd(e model.End) {
 	id := e.RunID
 	if e.Outcome == record.Outcome_OUTCOME_FAILED {
 		w.failures[id.Task]--
@@ -130,34 +130,34 @@
 
 const testGangWait = 3 * time.Second
 
-// joinGang lets a gang work from the moment when all members of a run are
-// there. A member that waits too long ends alone. Members end together: one
-// lists the end for all, or, if it fails, the others are broken.
+// joinGang starts a gang's run time once all members of a run are present. A
+// member that waits longer than testGangWait ends alone. Members end together: one
+// lists the end for all, or, if it fails, the others end as lost.
 func (w *world) joinGang(fw *fakeWorker, id model.TaskID, r *fakeRun, step *record.Step) {
-	w.at(testGangWait, func() {
-		w.lapse(fw) // a member whose lease is over waits no longer
+	w.after(testGangWait, func() {
+		w.expireLease(fw) // a member whose lease has expired has ended already
 		if fw.runs[id] == r && len(w.members(id, r.number)) < int(step.Count) {
-			fw.alone = append(fw.alone, id)
+			fw.gangTimeouts = append(fw.gangTimeouts, id)
 			w.end(fw, id, record.Outcome_OUTCOME_LOST)
 		}
 	})
 	if len(w.members(id, r.number)) < int(step.Count) {
 		return
 	}
-	w.at(w.runTime(id), func() {
+	w.after(w.runTime(id), func() {
 		members := w.members(id, r.number)
 		if len(members) < int(step.Count) {
-			w.breakRest(id, r.number)
+			w.endRemainingMembers(id, r.number)
 			return
 		}
 		if w.fails(id, r.number) {
 			w.failures[id]++
 			w.end(members[id], id, record.Outcome_OUTCOME_FAILED)
-			w.breakRest(id, r.number)
+			w.endRemainingMembers(id, r.number)
 			return
 		}
 		for m, on := range members {
-			w.isDone(m, r.number)
+			w.recordDone(m, r.number)
 			if m == id {
 				w.end(on, m, record.Outcome_OUTCOME_DONE)
 				continue
@@ -168,12 +168,12 @@
 	})
 }
 
-// members returns where the members of a gang's run are alive.
+// members returns the live members of a gang's run with their workers.
 func (w *world) members(id model.TaskID, number int32) map[model.TaskID]*fakeWorker {
 	out := make(map[model.TaskID]*fakeWorker)
 	for _, name := range w.names {
 		fw := w.workers[name]
-		w.lapse(fw)
+		w.expireLease(fw)
 		for m, r := range fw.runs {
 			if m.Job == id.Job && m.Occurrence == id.Occurrence && m.Step == id.Step && r.number == number {
 				out[m] = fw
@@ -183,13 +183,13 @@
 	return out
 }
 
-func (w *world) breakRest(id model.TaskID, number int32) {
+func (w *world) endRemainingMembers(id model.TaskID, number int32) {
 	for m, fw := range w.members(id, number) {
 		w.end(fw, m, record.Outcome_OUTCOME_LOST)
 	}
 }
 
-func (w *world) stop(fw *fakeWorker, o model.StopOrder) CallError {
+func (w *world) stop(fw *fakeWorker, o model.StopRequest) CallError {
 	if o.Fence < fw.fence {
 		return CallFenced
 	}
@@ -209,15 +209,15 @@
 	fw.ends = append(fw.ends, model.End{Number: fw.nextEnd, RunID: model.RunID{Task: id, Run: r.number}, Outcome: outcome, Checkpoint: w.save(id, r)})
 }
 
-// lapse ends what runs on a worker whose lease is over.
-func (w *world) lapse(fw *fakeWorker) {
+// expireLease ends all runs on a worker whose lease has expired.
+func (w *world) expireLease(fw *fakeWorker) {
 	if fw.until >= fw.clock(w.now) {
 		return
 	}
-	// An end that was not taken note of before the lease was over does not
-	// bind for good.
-	for ; fw.bound < len(fw.ends); fw.bound++ {
-		w.forgetEnd(fw.ends[fw.bound])
+	// An end that the scheduler has not recorded when the lease expires is not
+	// final: the scheduler may count the run as lost and start the task again.
+	for ; fw.voidEnds < len(fw.ends); fw.voidEnds++ {
+		w.discardEnd(fw.ends[fw.voidEnds])
 	}
 	ids := make([]model.TaskID, 0, len(fw.runs))
 	for id := range fw.runs {
@@ -229,23 +229,23 @@
 	}
 }
 
-func (w *world) hold(life int, c Hold) {
+func (w *world) hold(generation int, c Hold) {
 	sent := w.now + c.After
-	var got model.Hold
-	w.call(life, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
+	var got model.HoldResponse
+	w.call(generation, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
 		if c.Order.Fence < fw.fence {
 			return CallFenced
 		}
 		fw.fence = c.Order.Fence
-		w.lapse(fw)
+		w.expireLease(fw)
 		if c.Order.UntilMs > 0 {
 			fw.until = max(fw.until, min(c.Order.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
 		}
 		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Order.AckedUpTo {
 			fw.ends = fw.ends[1:]
-			fw.bound = max(0, fw.bound-1)
+			fw.voidEnds = max(0, fw.voidEnds-1)
 		}
-		got = model.Hold{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
+		got = model.HoldResponse{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
 		for id, r := range fw.runs {
 			got.Running = append(got.Running, model.Running{
 				RunID: model.RunID{Task: id, Run: r.number}, Checkpoint: w.save(id, r), Percent: fw.percent(w.now, r),
