--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -16,7 +16,7 @@
 )
 
 // manyHelpers returns a list of the given number of helpers. All have the same small
-// capacity, except for those whose indexes are in strong.
+// capacity, except for those whose indexes are in large.
 func manyHelpers(hosts int, large ...int) *helpers {
 	return manyHelpersOf(newHelpers(25e6), hosts, large...)
 }
@@ -130,7 +130,7 @@
 	small.election.mu.Lock()
 	small.election.successors = []string{"127.0.0.1:1", large.settings.Control}
 	small.election.mu.Unlock()
-	f.waitUntil("the strong host leads", func() bool {
+	f.waitUntil("the large host leads", func() bool {
 		return small.election.nominate(context.Background(), fence) || large.election.localLeader() != nil
 	})
 	if small.election.localLeader() != nil {
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -113,9 +113,9 @@
 	})
 }
 
-// A replaced leader may keep sending orders to workers. A worker that has seen the
-// successor's fencing token refuses them: the successor takes over the running job,
-// and its tasks run once.
+// A replaced leader may keep sending starts and stops to workers. A worker that has
+// seen the successor's fencing token refuses them: the successor takes over the running
+// job, and its tasks run once.
 func TestStaleLeaderIsRefused(t *testing.T) {
 	f := newTestRegion(t, 2, 1, 300*time.Millisecond)
 	first := f.leader()
@@ -264,7 +264,7 @@
 func TestLeadershipMovesToLargerHost(t *testing.T) {
 	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	large := f.addWith("strong", "limits.cpuShare=4\n")
-	f.waitUntil("the strong host leads", func() bool { return f.leader() == large })
+	f.waitUntil("the large host leads", func() bool { return f.leader() == large })
 	if status, _ := f.call(f.hosts[0], http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted")
 	}
