--- a/host/front.go
+++ b/host/front.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	// patience is how long a caller is believed to wait if it does not say.
-	patience = 3 * time.Second
-	// answerMargin is left of a caller's deadline for the answer to reach it.
+	// defaultDeadline is the deadline of a request that does not set one.
+	defaultDeadline = 3 * time.Second
+	// answerMargin is the part of a caller's deadline that is reserved for delivering
+	// the answer.
 	answerMargin = 100 * time.Millisecond
-	// logPatience is how long the log may take before other hosts are asked to
-	// write too. It answers within some 10 ms, and within half a second when it
-	// is slow for everyone.
-	logPatience = 250 * time.Millisecond
-	// askTimeout bounds one question to the leader; the caller asks again.
-	askTimeout = 700 * time.Millisecond
-	// askTimeoutUnready is the same at a host that is not ready: the leader may be out
-	// of its reach, and the caller is to go to another host soon.
-	askTimeoutUnready = 150 * time.Millisecond
-	// leaderPatience is how long a question waits for somebody to lead: a successor
-	// leads within a second, and a caller that is sent away comes back in one at the
-	// earliest.
-	leaderPatience = time.Second
-	// leaderLook is the pause between two looks whether somebody leads.
-	leaderLook = 50 * time.Millisecond
-	// revocationMargin is taken off the time within which a withdrawn key must
-	// stop working: a request that passes the check is answered within it.
+	// appendHedgeDelay is how long an append may take before other hosts are asked to
+	// make it as well, as a hedged request. The log answers within some 10 ms, and
+	// within half a second when it is slow for everyone.
+	appendHedgeDelay = 250 * time.Millisecond
+	// leaderCallTimeout bounds one call to the leader; the call is repeated.
+	leaderCallTimeout = 700 * time.Millisecond
+	// leaderCallTimeoutUnready is the same at a host that is not ready: the leader may be
+	// unreachable from it, and the caller should retry at another host soon.
+	leaderCallTimeoutUnready = 150 * time.Millisecond
+	// leaderWaitTimeout is how long a request waits for a leader: a successor leads
+	// within a second, and a refused caller retries after a second at the earliest.
+	leaderWaitTimeout = time.Second
+	// leaderRetryInterval is the pause between two attempts to ask the leader.
+	leaderRetryInterval = 50 * time.Millisecond
+	// revocationMargin is subtracted from the time within which a withdrawn key must
+	// stop working: a request that passes the key check is answered within it.
 	revocationMargin = 1500 * time.Millisecond
-	// defaultBodyBytes bounds a submission where the configuration does not: a spec
-	// of 4,000 bytes and some thousand steps.
-	defaultBodyBytes = 1 << 20
-	// retrySoon is the Retry-After, in seconds, of a refusal that another host
-	// or a moment mends.
-	retrySoon = 1
+	// defaultMaxBodyBytes bounds the body of a submission if the configuration sets no
+	// limit. It has room for a spec of 4,000 bytes and some thousand steps.
+	defaultMaxBodyBytes = 1 << 20
+	// retryAfterSeconds is the Retry-After, in seconds, of a refusal that is temporary or
+	// specific to this host.
+	retryAfterSeconds = 1
 )
 
 var stateNames = map[region.State]string{
@@ -60,26 +60,26 @@
 	region.StateCancelled: platform.StateCancelled,
 }
 
-// call is one request of a caller on its way through the filters.
+// call is one request of a caller.
 type call struct {
 	host     *Host
 	w        http.ResponseWriter
 	r        *http.Request
 	config   *model.Config
 	queue    *model.Queue
-	job      string // id, "" if the path names the queue itself
-	owner    string // workspace of the key
+	job      string // job id; "" if the path names the queue itself
+	owner    string // workspace of the key; "" in a public queue
 	deadline time.Duration
 	cancel   context.CancelFunc
 	ctx      context.Context
 }
 
-// front answers callers.
-func (h *Host) front(w http.ResponseWriter, r *http.Request) {
+// serveCaller handles a request of a caller.
+func (h *Host) serveCaller(w http.ResponseWriter, r *http.Request) {
 	c := &call{host: h, w: w, r: r}
 	c.deadline = platform.DeadlineOf(r.Header)
 	if c.deadline == 0 {
-		c.deadline = patience
+		c.deadline = defaultDeadline
 	}
 	c.ctx, c.cancel = context.WithTimeout(r.Context(), max(c.deadline-answerMargin, answerMargin))
 	defer c.cancel()
@@ -90,9 +90,9 @@
 	case r.Method == http.MethodPost && c.job != "":
 		c.submit()
 	case r.Method == http.MethodGet && c.job != "":
-		c.state()
+		c.serveState()
 	case r.Method == http.MethodGet:
-		c.pending()
+		c.servePending()
 	case r.Method == http.MethodDelete && c.job != "":
 		c.cancelJob()
 	default:
@@ -100,8 +100,8 @@
 	}
 }
 
-// admit finds the queue and checks the key. It answers and reports false if the
-// request goes no further.
+// admit finds the queue of the request and checks its key. If the request is not
+// admitted, it answers it and reports false.
 func (c *call) admit() bool {
 	c.config = c.host.config.Config()
 	if c.config == nil {
@@ -110,7 +110,7 @@
 	}
 	queue, ok := c.config.Queue(hostName(c.r.Host), c.r.URL.Path)
 	if !ok {
-		return c.unconfigured(http.StatusNotFound)
+		return c.rejectIfConfirmed(http.StatusNotFound)
 	}
 	c.queue = queue
 	c.job = strings.TrimPrefix(c.r.URL.Path, queue.PathPrefix)
@@ -123,21 +123,22 @@
 	}
 	c.owner, ok = c.config.KeyOwner[platform.KeyOf(c.r.Header)]
 	if !ok {
-		return c.unconfigured(http.StatusUnauthorized)
+		return c.rejectIfConfirmed(http.StatusUnauthorized)
 	}
-	// A host that cannot show that its configuration was the newest a moment
-	// ago may not know that the key was withdrawn.
-	if c.host.settings.StrictRevocation && c.host.config.Age() > c.host.settings.KeyRevocation-revocationMargin {
+	// A host whose configuration has not been confirmed as the newest recently may
+	// not know that the key was withdrawn.
+	if c.host.settings.StrictRevocation && c.host.config.ConfirmationAge() > c.host.settings.KeyRevocation-revocationMargin {
 		c.refuse("configuration is not confirmed")
 		return false
 	}
 	return true
 }
 
-// unconfigured answers a request that the configuration does not allow, if that
-// is certain: a host that has not heard of the newest one may be wrong.
-func (c *call) unconfigured(status int) bool {
-	if c.host.config.Age() > c.host.settings.ConfigApply {
+// rejectIfConfirmed answers a request that the configuration does not allow with
+// status. If the configuration is not confirmed, a newer one may allow the request,
+// and the answer is a refusal instead. It always reports false.
+func (c *call) rejectIfConfirmed(status int) bool {
+	if c.host.config.ConfirmationAge() > c.host.settings.ConfigApply {
 		c.refuse("configuration is not confirmed")
 		return false
 	}
@@ -152,12 +153,13 @@
 	return host
 }
 
-// refuse answers that the request was not run and when to come back.
+// refuse answers with 503 and a Retry-After: the request had no effect and may be
+// retried. why is a label of the refusals metric.
 func (c *call) refuse(why string) {
 	c.host.metrics.Tagged(map[string]string{"why": why}).Counter("refusals").Inc(1)
-	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.Age().Milliseconds()}).
+	c.host.log.WithFields(logrus.Fields{"job": c.job, "why": why, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds()}).
 		Info("refused")
-	c.w.Header().Set("Retry-After", strconv.Itoa(retrySoon))
+	c.w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	c.answer(http.StatusServiceUnavailable, nil)
 }
 
@@ -171,15 +173,15 @@
 	}
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(status)
-	// A caller that left before its answer shows here; there is nobody to tell.
+	// An error means that the caller has gone, so it needs no handling.
 	_, _ = c.w.Write(body)
 }
 
-// submit keeps the job in the log, then answers: whatever was accepted survives
-// the loss of every host.
+// submit appends the job to the log, then answers: an accepted job survives the loss
+// of every host.
 func (c *call) submit() {
 	began := boottime.Now()
-	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, cmp.Or(c.config.Limits.MaxBodyBytes, defaultBodyBytes)))
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, cmp.Or(c.config.Limits.MaxBodyBytes, defaultMaxBodyBytes)))
 	if err != nil {
 		c.answer(http.StatusRequestEntityTooLarge, nil)
 		return
@@ -192,111 +194,114 @@
 	}
 	job.Id, job.Queue, job.Workspace, job.Policy = c.job, c.queue.Name, c.owner, c.queue.Policy
 	job.AcceptedUnixMs = time.Now().UnixMilli()
-	if c.host.stopping.Load() && c.host.intakeLate() {
+	if c.host.stopping.Load() && c.host.tooLateForIntake() {
 		c.refuse("stopping")
 		return
 	}
-	outcome := c.keep(&record.Intake{Kind: &record.Intake_Submitted{Submitted: job}})
+	outcome := c.appendRecord(&record.Intake{Kind: &record.Intake_Submitted{Submitted: job}})
 	c.host.metrics.Timer("submission_seconds").Record(boottime.Now() - began)
-	if outcome == kept {
+	if outcome == appended {
 		c.host.log.WithFields(logrus.Fields{"job": c.job, "queue": job.Queue, "workspace": job.Workspace,
-			"config": c.config.Version, "config_age_ms": c.host.config.Age().Milliseconds(),
+			"config": c.config.Version, "config_age_ms": c.host.config.ConfirmationAge().Milliseconds(),
 			"ms": (boottime.Now() - began).Milliseconds()}).Info("accepted")
 	}
-	c.answerKept(outcome)
+	c.answerAppend(outcome)
 }
 
-// outcome is what became of a record.
-type outcome int
+// appendOutcome is the result of an append to the intake. Its values correspond to
+// hostrpc.KeepOutcome.
+type appendOutcome int
 
 const (
-	kept    outcome = iota
-	notKept         // certainly not, and never will be
-	unknown         // it may be kept
+	appended      appendOutcome = iota
+	notAppended                 // certainly not in the log, and never will be
+	appendUnknown               // may be in the log now or later
 )
 
-// keep writes a record to the intake. If the log does not answer soon, other
-// hosts are asked to write it as well; a record that comes twice counts once.
-func (c *call) keep(r *record.Intake) outcome {
+// appendRecord appends a record to the intake and notifies the leader of it. If the
+// log does not answer soon, other hosts are asked to append it as well; a record that
+// is appended twice counts once.
+func (c *call) appendRecord(r *record.Intake) appendOutcome {
 	data, err := proto.Marshal(r)
 	if err != nil {
-		c.host.log.WithError(err).WithField("job", c.job).Error("record cannot be encoded")
-		return notKept
+		c.host.log.WithError(err).WithField("job", c.job).Error("cannot encode a record of the intake")
+		return notAppended
 	}
-	o := c.keepData(data)
-	if o == kept {
-		c.host.tellLeader(r, data)
+	o := c.appendData(data)
+	if o == appended {
+		c.host.notifyLeader(r, data)
 	}
 	return o
 }
 
-func (c *call) keepData(data []byte) outcome {
-	if !c.host.intake.Healthy() && !c.host.config.PeerContact() {
-		// Neither the log nor a host that reaches it: nothing was written.
-		return notKept
+func (c *call) appendData(data []byte) appendOutcome {
+	if !c.host.intake.Healthy() && !c.host.config.PeerConfirmed() {
+		// Neither the log nor a host that reaches it can be reached: nothing was sent.
+		return notAppended
 	}
 	done := make(chan struct{})
 	p := c.host.intake.Write(data, func(logwriter.Ack) { close(done) })
-	wait := logPatience
+	wait := appendHedgeDelay
 	if !c.host.intake.Healthy() {
 		wait = 0
 	}
-	byPeers := notKept
+	peerOutcome := notAppended
 	select {
 	case <-done:
-		return kept
+		return appended
 	case <-c.ctx.Done():
 	case <-time.After(wait):
-		byPeers = c.host.keepByPeers(c.ctx, data)
+		peerOutcome = c.host.appendThroughPeers(c.ctx, data)
 	}
 	switch {
-	case byPeers == kept:
-		p.Withdraw() // one record is enough, but two do no harm
-		return kept
+	case peerOutcome == appended:
+		p.Withdraw() // if this fails, the duplicate does no harm
+		return appended
 	case p.Withdraw():
-		return byPeers
+		return peerOutcome
 	}
-	// The record is in a call that the writer repeats until the log answers. A
-	// caller of a host that is cut off does better to ask another one meanwhile.
-	look := time.NewTicker(readyLook)
-	defer look.Stop()
+	// The writer repeats the call that has the record until the log answers. If this
+	// host becomes isolated meanwhile, answer now, and the caller can retry elsewhere.
+	ticker := time.NewTicker(readinessCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
-			return kept
+			return appended
 		case <-c.ctx.Done():
-			return unknown
-		case <-look.C:
+			return appendUnknown
+		case <-ticker.C:
 			if c.host.isolated() {
-				return unknown
+				return appendUnknown
 			}
 		}
 	}
 }
 
-func (c *call) answerKept(o outcome) {
+func (c *call) answerAppend(o appendOutcome) {
 	switch o {
-	case kept:
+	case appended:
 		c.answer(http.StatusOK, nil)
-	case notKept:
+	case notAppended:
 		c.refuse("the log did not answer in time")
-	case unknown:
+	case appendUnknown:
 		c.host.metrics.Counter("submissions_unknown").Inc(1)
 		c.host.log.WithField("job", c.job).Warn("outcome unknown: the log did not answer in time")
 		c.answer(http.StatusGatewayTimeout, nil)
 	}
 }
 
-// cancelJob keeps the cancellation in the log, then answers. A job that the
-// leader does not know is gone; if nobody can tell, it is cancelled all the same.
+// cancelJob appends the cancellation to the log, then answers. A job that the leader
+// does not know is answered with 410 Gone. If the leader does not answer, the
+// cancellation is appended all the same.
 func (c *call) cancelJob() {
-	if state, ok := c.ask(); ok && state == region.StateUnknown {
+	if state, ok := c.jobState(); ok && state == region.StateUnknown {
 		c.answer(http.StatusGone, nil)
 		return
 	}
-	o := c.keep(&record.Intake{Kind: &record.Intake_Cancelled{Cancelled: c.job}})
-	if o == kept {
+	o := c.appendRecord(&record.Intake{Kind: &record.Intake_Cancelled{Cancelled: c.job}})
+	if o == appended {
 		c.host.log.WithField("job", c.job).Info("cancellation accepted")
 	}
-	c.answerKept(o)
+	c.answerAppend(o)
 }
