--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -155,7 +155,7 @@
 		return region.CallNoTicket
 	}
 	switch {
-	case platform.IsOtherLife(err):
+	case platform.IsOtherIncarnation(err):
 		return region.CallOtherLife
 	case platform.IsRefused(err):
 		return region.CallRefused
