--- a/host/election.go
+++ b/host/election.go
@@ -391,7 +391,7 @@
 		// Without an answer the claim may stand: watchClaims will read it, and
 		// as it names this host without a leadership, it is claimed anew.
 		e.host.log.WithError(err).WithField("after_fence", fence).Info("lead not claimed")
-		if platform.Moved(err) {
+		if platform.IsEndMismatch(err) {
 			e.readNow(ctx)
 		}
 		return false
