--- a/host/election.go
+++ b/host/election.go
@@ -386,7 +386,7 @@
 	if err != nil {
 		panic(err) // three strings always encode
 	}
-	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, At: at})
+	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, ExpectedEnd: at})
 	if err != nil {
 		// Without an answer the claim may stand: watchClaims will read it, and
 		// as it names this host without a leadership, it is claimed anew.
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -38,7 +38,7 @@
 			records = append(records, data)
 		}
 		got, err := client.Append(context.Background(), 5*time.Second, platform.Append{
-			Topic: TopicEntries, Part: part, Records: records, At: -1,
+			Topic: TopicEntries, Part: part, Records: records, ExpectedEnd: -1,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/leader/load.go
+++ b/leader/load.go
@@ -119,7 +119,7 @@
 }
 
 func (l *Leader) fencePart(ctx context.Context, part int) (int64, error) {
-	call := platform.Append{Topic: TopicEntries, Part: part, Producer: producer, Epoch: l.cfg.Fence, Seq: 0, At: -1}
+	call := platform.Append{Topic: TopicEntries, Part: part, Producer: producer, Epoch: l.cfg.Fence, Seq: 0, ExpectedEnd: -1}
 	for timeout := fenceTimeout; ; timeout = min(2*timeout, readTimeout) {
 		got, err := l.cfg.Client.Append(ctx, timeout, call)
 		switch {
--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -243,7 +243,7 @@
 	}
 	return w.call(ctx, timeout, l, platform.Append{
 		Topic: w.target.Topic, Part: w.part, Producer: w.target.Producer,
-		Epoch: w.target.Epoch, Seq: l.seq, At: -1, Records: records,
+		Epoch: w.target.Epoch, Seq: l.seq, ExpectedEnd: -1, Records: records,
 	})
 }
 
