--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -109,7 +109,7 @@
 
 func (d *dispatcher) hold(c region.Hold) {
 	sent := boottime.Now()
-	hold, err := d.leader.cfg.Client.Hold(d.ctx, d.leader.answers.timeout(lookTimeout, mostTimeout), c.Order)
+	hold, err := d.leader.cfg.Client.Heartbeat(d.ctx, d.leader.answers.timeout(lookTimeout, mostTimeout), c.Order)
 	d.noteAnswer(sent, c.Order.Wait, err)
 	d.leader.push(d.ctx, region.Held{Order: c.Order, SentAt: sent, Hold: hold, Err: callError(platform.Receipt{Err: err}, nil)})
 }
