--- a/host/host.go
+++ b/host/host.go
@@ -91,7 +91,7 @@
 	h.config.provenAt.Store(int64(boottime.Now() - time.Hour))
 	h.election = newElection(h)
 	h.intake = logwriter.New(client, logwriter.Target{
-		Topic: leader.TopicIntake, Parts: leader.IntakeParts, Producer: s.Host + "/" + h.incarnation, Epoch: 1, FirstSeq: 1, CallBytes: s.CallBytes,
+		Topic: leader.TopicIntake, Parts: leader.IntakeParts, Producer: s.Host + "/" + h.incarnation, Epoch: 1, FirstSeq: 1, CallBytes: s.MaxAppendBytes,
 	})
 	return h
 }
@@ -230,7 +230,7 @@
 
 func (h *Host) leaderConfig(fence int64) leader.Config {
 	return leader.Config{
-		Client: h.client, Fence: fence, CallBytes: h.settings.CallBytes, LinkBps: h.settings.LinkBps,
+		Client: h.client, Fence: fence, CallBytes: h.settings.MaxAppendBytes, LinkBps: h.settings.LinkBps,
 		Options: region.Options{
 			MaxLease: h.settings.MaxLease, Lease: time.Duration(float64(h.settings.MaxLease) * leaseShare),
 			LogRetention: h.settings.LogRetention, StatusKept: h.settings.StatusRetention,
