--- a/host/host.go
+++ b/host/host.go
@@ -76,7 +76,7 @@
 // New returns a host that has not begun.
 func New(s platform.Settings, tel *telemetry.Telemetry) *Host {
 	meter := linkstats.New(tel.Metrics.SubScope("link"))
-	client := platform.NewClient(s.Names, connsPerAddress, meter)
+	client := platform.NewClient(s.Addresses, connsPerAddress, meter)
 	h := &Host{
 		settings: s, incarnation: newIncarnation(), client: client,
 		meter: meter, load: linkstats.NewLoad(meter, s.LinkBps),
