--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -25,7 +25,7 @@
 	store := fakeplatform.NewStore()
 	door := store.Door()
 	defer door.Close()
-	client := platform.NewClient(platform.Addresses{Store: door.Address()}, 2, nil)
+	client := platform.NewClient(platform.Addresses{Log: door.Address()}, 2, nil)
 	parts := [entryParts][][2]int64{{{1, 1}, {1, 4}, {2, 1}}, {{1, 2}, {1, 3}, {1, 4}}, {{2, 2}}}
 	var ends []int64
 	for part, entries := range parts {
@@ -107,7 +107,7 @@
 	door.Stall("log-read")
 	defer door.Stall("")
 	l := New(Config{
-		Client: platform.NewClient(platform.Addresses{Store: door.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
+		Client: platform.NewClient(platform.Addresses{Log: door.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
 		Log: logrus.NewEntry(logrus.New()), Metrics: tally.NoopScope,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -115,7 +115,7 @@
 	defer run.Wait()
 	defer cancel()
 	run.Go(func() { _ = l.Run(ctx) }) // ends with ctx
-	w := NewWatcher(platform.NewClient(platform.Addresses{Store: watching.Address()}, 4, nil))
+	w := NewWatcher(platform.NewClient(platform.Addresses{Log: watching.Address()}, 4, nil))
 	signs := 0
 	for range 100 { // on a busy machine signs may come late
 		if grown, _ := w.grown(ctx, heartbeatEvery); grown {
