--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -21,7 +21,7 @@
 // end over the second, so that it missed the opposite case.
 func TestAuditTellsEndsApart(t *testing.T) {
 	const task = "00000000000000aa.0.0.0"
-	saw := func(what fakeplatform.WorkerEvent, worker string, run int) fakeplatform.WorkerSaw {
+	saw := func(what fakeplatform.EventKind, worker string, run int) fakeplatform.WorkerSaw {
 		return fakeplatform.WorkerSaw{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
 	}
 	twice := []fakeplatform.WorkerSaw{
