--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -69,7 +69,7 @@
 }
 
 // see takes in what a worker saw.
-func (a *audit) see(e fakeplatform.WorkerSaw) {
+func (a *audit) see(e fakeplatform.WorkerEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := runID{e.Task, e.Run}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (a *audit) start(e fakeplatform.WorkerSaw) {
+func (a *audit) start(e fakeplatform.WorkerEvent) {
 	job, step, ok := splitTask(e.Task)
 	spec, known := a.specs[job]
 	switch {
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -21,30 +21,30 @@
 // end over the second, so that it missed the opposite case.
 func TestAuditTellsEndsApart(t *testing.T) {
 	const task = "00000000000000aa.0.0.0"
-	saw := func(what fakeplatform.EventKind, worker string, run int) fakeplatform.WorkerSaw {
-		return fakeplatform.WorkerSaw{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
+	saw := func(what fakeplatform.EventKind, worker string, run int) fakeplatform.WorkerEvent {
+		return fakeplatform.WorkerEvent{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
 	}
-	twice := []fakeplatform.WorkerSaw{
+	twice := []fakeplatform.WorkerEvent{
 		saw(fakeplatform.RunStarted, "i-0", 1), saw(fakeplatform.RunDone, "i-0", 1),
 		saw(fakeplatform.RunStarted, "i-2", 2), saw(fakeplatform.RunDone, "i-2", 2),
 	}
 	for name, c := range map[string]struct {
-		then []fakeplatform.WorkerSaw
+		then []fakeplatform.WorkerEvent
 		want string // in the only breach; empty for none
 	}{
 		"the second end is noted, the first forgotten": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
 		},
 		"the first end is noted": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-0", 1)},
 			want: "after an end as done of run 1",
 		},
 		"both ends are noted": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndNoted, "i-0", 1)},
 			want: "after an end as done of run 1",
 		},
 		"a run begins after a noted end": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.RunStarted, "i-1", 3)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.RunStarted, "i-1", 3)},
 			want: "run 3 on i-1 after it was done",
 		},
 	} {
--- a/soak/lapse_test.go
+++ b/soak/lapse_test.go
@@ -25,7 +25,7 @@
 }
 
 // see takes in what a worker saw; the worker is locked meanwhile.
-func (l *lapseWatch) see(e fakeplatform.WorkerSaw) {
+func (l *lapseWatch) see(e fakeplatform.WorkerEvent) {
 	l.fleet.audit.see(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
