--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -80,7 +80,7 @@
 		delete(a.alive[e.Task], e.Worker)
 		a.ended[e.Task] = true
 		a.done[e.Task] = append(a.done[e.Task], id)
-	case fakeplatform.RunOver:
+	case fakeplatform.RunAborted:
 		delete(a.alive[e.Task], e.Worker)
 	case fakeplatform.EndForgot:
 		a.forgotten[id] = true
