--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -85,7 +85,7 @@
 	case fakeplatform.EndForgot:
 		a.forgotten[id] = true
 		a.done[e.Task] = slices.DeleteFunc(a.done[e.Task], func(done runID) bool { return done == id })
-	case fakeplatform.EndNoted:
+	case fakeplatform.EndAcked:
 		a.note(id)
 	}
 }
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -33,18 +33,18 @@
 		want string // in the only breach; empty for none
 	}{
 		"the second end is noted, the first forgotten": {
-			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
 		},
 		"the first end is noted": {
-			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-0", 1)},
 			want: "after an end as done of run 1",
 		},
 		"both ends are noted": {
-			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-2", 2), saw(fakeplatform.EndAcked, "i-0", 1)},
 			want: "after an end as done of run 1",
 		},
 		"a run begins after a noted end": {
-			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.RunStarted, "i-1", 3)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-2", 2), saw(fakeplatform.RunStarted, "i-1", 3)},
 			want: "run 3 on i-1 after it was done",
 		},
 	} {
--- a/soak/lapse_test.go
+++ b/soak/lapse_test.go
@@ -37,7 +37,7 @@
 			l.cut = l.fleet.workerOf(e.Worker)
 			l.cut.way.set(silent)
 		}
-	case e.What == fakeplatform.EndNoted && e.Worker == l.cut.ID && e.Run == 1:
+	case e.What == fakeplatform.EndAcked && e.Worker == l.cut.ID && e.Run == 1:
 		l.noted = true
 	}
 }
