--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -82,7 +82,7 @@
 		a.done[e.Task] = append(a.done[e.Task], id)
 	case fakeplatform.RunAborted:
 		delete(a.alive[e.Task], e.Worker)
-	case fakeplatform.EndForgot:
+	case fakeplatform.EndDropped:
 		a.forgotten[id] = true
 		a.done[e.Task] = slices.DeleteFunc(a.done[e.Task], func(done runID) bool { return done == id })
 	case fakeplatform.EndAcked:
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -33,7 +33,7 @@
 		want string // in the only breach; empty for none
 	}{
 		"the second end is noted, the first forgotten": {
-			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-2", 2), saw(fakeplatform.EndDropped, "i-0", 1)},
 		},
 		"the first end is noted": {
 			then: []fakeplatform.WorkerEvent{saw(fakeplatform.EndAcked, "i-0", 1)},
