--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -95,8 +95,8 @@
 // later, after newer ones.
 var lateOrders = fault{"worker late", func(f *fleet, h, w int) func() {
 	late := f.worker(w)
-	late.Late(time.Duration(2+h%4) * time.Second)
-	return func() { late.Late(0) }
+	late.DelayCalls(time.Duration(2+h%4) * time.Second)
+	return func() { late.DelayCalls(0) }
 }}
 
 // outlivingOrders is the same with calls that outlive the life that they are for.
