--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -101,7 +101,7 @@
 
 // outlivingOrders is the same with calls that outlive the life that they are for.
 var outlivingOrders = fault{"worker late, in any life", func(f *fleet, h, w int) func() {
-	f.worker(w).Outlive()
+	f.worker(w).KeepDelayedCalls()
 	return lateOrders.do(f, h, w)
 }}
 
