--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -28,7 +28,7 @@
 // member is one host with its own way to the log.
 type member struct {
 	*Host
-	door *fakeplatform.Door
+	door *fakeplatform.Endpoint
 	stop context.CancelFunc
 	done chan struct{}
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -46,7 +46,7 @@
 	name, program, settings, logs string
 	front                         *proxy // callers use it
 	log                           *proxy // its way to the log
-	door                          *fakeplatform.Door
+	door                          *fakeplatform.Endpoint
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
