--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -67,7 +67,7 @@
 // addWith adds a host with further settings.
 func (f *fleet) addWith(name, more string) *member {
 	f.t.Helper()
-	m := &member{door: f.store.Door(), done: make(chan struct{})}
+	m := &member{door: f.store.Endpoint(), done: make(chan struct{})}
 	settings := filepath.Join(f.t.TempDir(), "settings")
 	text := fmt.Sprintf("node=%s\nip=127.0.0.1\nzone=z1\nlisten.front=%s\nlisten.ready=%s\nlisten.control=%s\nplatform.address=%s\n"+
 		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.door.Address(), more)
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -23,7 +23,7 @@
 // assignment it belongs to, and take a task for running that is done.
 func TestEntriesAreReadInOrder(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door := store.Door()
+	door := store.Endpoint()
 	defer door.Close()
 	client := platform.NewClient(platform.Addresses{Log: door.Address()}, 2, nil)
 	parts := [entryParts][][2]int64{{{1, 1}, {1, 4}, {2, 1}}, {{1, 2}, {1, 3}, {1, 4}}, {{2, 2}}}
@@ -101,7 +101,7 @@
 // heartbeats until the scheduler does.
 func TestLeaderThatLoadsShowsLife(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door, watching := store.Door(), store.Door()
+	door, watching := store.Endpoint(), store.Endpoint()
 	defer door.Close()
 	defer watching.Close()
 	door.Stall("log-read")
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -123,7 +123,7 @@
 
 func (f *fleet) addHost(program, name string) {
 	t := f.t
-	h := &host{name: name, program: program, door: f.store.Door()}
+	h := &host{name: name, program: program, door: f.store.Endpoint()}
 	h.log = newProxy(t, h.door.Address())
 	address := func() string {
 		a, err := fakeplatform.FreeAddress()
