--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -42,7 +42,7 @@
 	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("not accepted before the cut")
 	}
-	cut.door.Silence(true)
+	cut.door.Blackhole(true)
 	first.stop()
 	<-first.done
 	req, err := http.NewRequest(http.MethodPost, "http://"+cut.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
@@ -66,7 +66,7 @@
 	if cut.Ready() {
 		t.Error("the host is ready")
 	}
-	cut.door.Silence(false)
+	cut.door.Blackhole(false)
 	f.until("it leads after the cut", func() bool { return f.leader() == cut })
 	f.until("the job is completed", func() bool { return f.completed(cut, 1) })
 }
