--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -15,14 +15,14 @@
 // a job tells the leader of it.
 func TestLeaderIsToldOfKeptJobs(t *testing.T) {
 	f := newFleet(t, 2, 2, 50*time.Millisecond)
-	f.store.Hush(leader.TopicIntake, true)
+	f.store.SuppressReads(leader.TopicIntake, true)
 	for n, m := range f.hosts {
 		if status, _ := f.call(m, http.MethodPost, jobPath(n), "k1", twoTasks); status != http.StatusOK {
 			t.Fatalf("submission answered %d", status)
 		}
 		f.until("the job is completed", func() bool { return f.completed(m, n) })
 	}
-	f.store.Hush(leader.TopicIntake, false)
+	f.store.SuppressReads(leader.TopicIntake, false)
 	f.until("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
