--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -69,7 +69,7 @@
 		d.leader.writer.Write(data, func(k logwriter.Kept) {
 			if last {
 				d.leader.loggedAt.Store(int64(boottime.Now()))
-				d.leader.push(d.ctx, region.Logged{Seq: seq, SentAt: k.SentAt})
+				d.leader.push(d.ctx, region.Committed{Seq: seq, SentAt: k.SentAt})
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 	case platform.ReasonOld:
 		return region.CallOldRun
 	case platform.ReasonLate:
-		return region.CallLate
+		return region.CallLeaseExpired
 	case platform.ReasonRoom:
 		return region.CallNoRoom
 	case platform.ReasonTicket:
@@ -156,7 +156,7 @@
 	}
 	switch {
 	case platform.IsOtherIncarnation(err):
-		return region.CallOtherLife
+		return region.CallOtherIncarnation
 	case platform.IsRefused(err):
 		return region.CallRefused
 	case platform.IsNotSent(err):
--- a/region/advice.go
+++ b/region/advice.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	// adviceMargin is taken off a ticket's life: its answer travels to us and
-	// the start to the worker.
+	// adviceMargin is subtracted from a ticket's validity: the answer takes time to
+	// reach the leader, and the start to reach the worker.
 	adviceMargin = 200 * time.Millisecond
-	// maxAsked is how many workers one call for advice may name.
-	maxAsked = 100
-	// fewAsked is how many workers a quick first call names at least, those with
-	// room first; more are asked about when they turn out not to be enough.
-	fewAsked = 12
-	// askedPerTask is how many workers are asked about for each task: a third
-	// to two thirds of the workers are good, and some are taken meanwhile.
-	askedPerTask = 4
-	// adviceRetry is the pause after a call for advice that failed.
-	adviceRetry = 200 * time.Millisecond
+	// maxAdviceWorkers is the largest number of workers in one call for advice.
+	maxAdviceWorkers = 100
+	// minAdviceWorkers is the smallest limit on the workers in one call. Workers with
+	// room come first; further calls name more if these are not enough.
+	minAdviceWorkers = 12
+	// adviceWorkersPerTask is how many workers a call names for each task: a third to
+	// two thirds of the workers are eligible, and some fill up before the answer.
+	adviceWorkersPerTask = 4
+	// adviceRetryPause is the backoff of a step after a failed call for advice.
+	adviceRetryPause = 200 * time.Millisecond
 )
 
-// adviceState is what is known of the workers that may run a step.
+// adviceState holds the answers of the advice service about the workers for a step.
 type adviceState struct {
-	marks   []adviceMark // by the worker's slot
-	known   int          // workers that the service has spoken about
-	good    []*worker    // those of them that may run the step
-	asking  bool
-	firstAt time.Duration // when the first advice came
-	retryAt time.Duration
+	marks    []adviceMark // by the worker's slot
+	known    int          // number of workers with an answer
+	eligible []*worker    // those of them that may run the step
+	inFlight bool
+	firstAt  time.Duration // time of the first answer
+	retryAt  time.Duration
 }
 
-// adviceMark is what the advice service said of one worker. Which workers are
-// good for a step never changes; tickets expire.
+// adviceMark is the advice service's answer about one worker. The set of workers that
+// are eligible for a step never changes; tickets expire.
 type adviceMark struct {
-	worker *worker // nil where nothing is known
-	good   bool
-	ticket string
-	until  time.Duration
+	worker   *worker // nil without an answer
+	eligible bool
+	ticket   string
+	until    time.Duration
 }
 
-// mark returns what is known of a worker, or nil. A slot may have had another
-// worker when the service spoke.
+// mark returns the answer about a worker, or nil if there is none. Slots are reused, so
+// the answer in the worker's slot may be about another worker.
 func (a *adviceState) mark(w *worker) *adviceMark {
 	if w.slot >= len(a.marks) || a.marks[w.slot].worker != w {
 		return nil
@@ -50,7 +50,7 @@
 	return &a.marks[w.slot]
 }
 
-// note keeps what the service said of a worker.
+// note stores the answer about a worker.
 func (a *adviceState) note(m adviceMark) {
 	if missing := m.worker.slot + 1 - len(a.marks); missing > 0 {
 		a.marks = append(a.marks, make([]adviceMark, missing)...)
@@ -59,8 +59,8 @@
 	if old == nil {
 		a.known++
 	}
-	if m.good && (old == nil || !old.good) {
-		a.good = append(a.good, m.worker)
+	if m.eligible && (old == nil || !old.eligible) {
+		a.eligible = append(a.eligible, m.worker)
 	}
 	a.marks[m.worker.slot] = m
 }
@@ -71,122 +71,121 @@
 	}
 }
 
-// candidates returns the workers that the step might start on, as far as advice
-// goes. Of a step with advice those are few, and looking at no others makes a
-// pass over a region of 350 workers several times cheaper (BenchmarkPass).
+// candidates returns the workers that advice does not exclude for the step. A step
+// with advice has few; skipping the others makes a scheduling pass over a region of 350
+// workers several times cheaper (BenchmarkPass).
 func (s *Scheduler) candidates(st *step) []*worker {
-	if st.advised() {
-		return st.advice.good
+	if st.needsAdvice() {
+		return st.advice.eligible
 	}
-	return s.order
+	return s.workerList
 }
 
-// advised steps need a ticket of the advice service.
-func (st *step) advised() bool { return st.job.rec.Policy.GetAdvice() != nil }
+// needsAdvice reports whether the step's tasks need a ticket of the advice service.
+func (st *step) needsAdvice() bool { return st.job.rec.Policy.GetAdvice() != nil }
 
-// ticketHolds reports whether the step may start on the worker as far as advice
-// goes.
+// ticketHolds reports whether the step needs no ticket, or has a valid one for the
+// worker.
 func (st *step) ticketHolds(w *worker, now time.Duration) bool {
-	if !st.advised() {
+	if !st.needsAdvice() {
 		return true
 	}
 	m := st.advice.mark(w)
-	return m != nil && m.good && now < m.until
+	return m != nil && m.eligible && now < m.until
 }
 
-// ruledOut reports whether the advice service said that the worker may not run
+// ruledOut reports whether the advice service answered that the worker may not run
 // the step.
 func (st *step) ruledOut(w *worker) bool {
-	if !st.advised() {
+	if !st.needsAdvice() {
 		return false
 	}
 	m := st.advice.mark(w)
-	return m != nil && !m.good
+	return m != nil && !m.eligible
 }
 
-// wantAdvice asks for advice when the step has too little and could use it: at
-// first about all workers, later anew about the good ones when there is room on
-// them and their tickets expire. Asking again for steps that have no room keeps
-// the advice service busy with answers that nobody uses, and the steps that
-// could start wait behind them.
-func (s *Scheduler) wantAdvice(st *step) {
-	if st.advised() {
+// refreshAdvice requests advice for the step if it lacks valid tickets and has room to
+// use them: first about all workers, later about the eligible ones whose tickets expire.
+// Repeated calls for steps without room would keep the advice service busy with answers
+// that are never used, and delay the steps that could start.
+func (s *Scheduler) refreshAdvice(st *step) {
+	if st.needsAdvice() {
 		room := s.claimRoom(st)
-		if s.canAsk(st) {
-			s.ask(st, room)
+		if s.canRequestAdvice(st) {
+			s.requestAdvice(st, room)
 		}
 	}
 }
 
-// wantFirstAdvice asks about a step that nothing is known of and that has no
-// room yet, if the advice service is idle.
-func (s *Scheduler) wantFirstAdvice(st *step) {
-	if st.advised() && st.advice.known == 0 && s.canAsk(st) {
-		s.ask(st, false)
+// requestFirstAdvice requests advice for a step that has none and no room yet, if a
+// host's backlog at the advice service permits it.
+func (s *Scheduler) requestFirstAdvice(st *step) {
+	if st.needsAdvice() && st.advice.known == 0 && s.canRequestAdvice(st) {
+		s.requestAdvice(st, false)
 	}
 }
 
-// canAsk reports whether a call about the step could go out now. The longest
-// call that it may need finds a host at least as easily as a shorter one, so that
-// with all hosts busy no list of workers is made in vain.
-func (s *Scheduler) canAsk(st *step) bool {
-	if st.advice.asking || s.now < st.advice.retryAt {
+// canRequestAdvice reports whether a call about the step could be sent now, and notes
+// what blocks it. It checks the longest possible call, which is accepted wherever a
+// shorter one is. With all hosts busy, no list of workers is built.
+func (s *Scheduler) canRequestAdvice(st *step) bool {
+	if st.advice.inFlight || s.now < st.advice.retryAt {
 		return false
 	}
 	if s.linkLoad > fullLink && !st.pressing {
-		st.blocked = "link" // calls for advice name many workers: they are the largest
+		st.heldBy = "link" // calls for advice name many workers and are the largest calls
 		s.dirty = true
 		return false
 	}
-	if s.advisers.pick(s.lanes, st.job.rec.Queue, st.adviceCost(st.mostAsked()), s.now) == nil {
-		st.blocked = "advice backlog"
+	if s.advisers.pick(s.adviceTiers, st.job.rec.Queue, st.adviceCost(st.maxWorkersPerCall()), s.now) == nil {
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return false
 	}
 	return true
 }
 
-// mostAsked is how many workers one call about the step names at most. As many as
-// double the length of the call are asked about in any case: in a full region a
-// step that knows a few good workers finds no room on any of them and asks again
-// and again, and each call costs the leader as much as a start.
-func (st *step) mostAsked() int {
+// maxWorkersPerCall returns the largest number of workers in one call about the step. It
+// is at least the number that doubles the service time of the call: in a full region, a
+// step with few eligible workers finds no room on them and requests advice repeatedly,
+// and each call costs the leader as much as a start.
+func (st *step) maxWorkersPerCall() int {
 	if st.rec.Gang {
-		return maxAsked
+		return maxAdviceWorkers
 	}
-	most := max(fewAsked, askedPerTask*len(st.tasks))
+	most := max(minAdviceWorkers, adviceWorkersPerTask*len(st.tasks))
 	if a := st.job.rec.Policy.GetAdvice(); a.GetEachMs() > 0 {
 		most = max(most, int(a.GetDecideMs()/a.GetEachMs()))
 	}
-	return min(maxAsked, most)
+	return min(maxAdviceWorkers, most)
 }
 
-func (s *Scheduler) ask(st *step, room bool) {
+func (s *Scheduler) requestAdvice(st *step, room bool) {
 	if st.advice.known > 0 && !room {
 		return
 	}
-	names := s.adviceWanted(st)
+	names := s.workersToAsk(st)
 	if len(names) == 0 {
 		return
 	}
 	cost := st.adviceCost(len(names))
-	host := s.advisers.pick(s.lanes, st.job.rec.Queue, cost, s.now)
+	host := s.advisers.pick(s.adviceTiers, st.job.rec.Queue, cost, s.now)
 	if host == nil {
-		st.blocked = "advice backlog"
+		st.heldBy = "advice backlog"
 		s.dirty = true
 		return
 	}
-	st.advice.asking = true
+	st.advice.inFlight = true
 	call := Advise{
 		Host: host.name, Job: st.job.rec.Id, Occurrence: st.occ.k, Step: st.index, Workers: names, Expected: cost,
 	}
-	call.Timeout = host.ask(call.about(), cost, s.now)
+	call.Timeout = host.enqueue(call.stepKey(), cost, s.now)
 	s.emit(call)
 }
 
-// claimRoom reports whether the step's waiting tasks could start if their
-// tickets were good, and takes the room for the rest of this pass, so that of
-// many steps that wait for the same room only the first ask for tickets.
+// claimRoom reports whether the step's waiting tasks could start with valid tickets, and
+// claims the room for the rest of this pass: of many steps that wait for the same room,
+// only the first request tickets.
 func (s *Scheduler) claimRoom(st *step) bool {
 	want, need := 0, 1
 	for _, t := range st.tasks {
@@ -197,7 +196,7 @@
 	if st.rec.Gang {
 		need = len(st.tasks)
 	}
-	ahead := st.adviceCost(len(s.order)) + adviceMargin
+	answerTime := st.adviceCost(len(s.workerList)) + adviceMargin
 	found := 0
 	for _, w := range s.usableNow {
 		if found >= want {
@@ -208,7 +207,7 @@
 		}
 		room := w.free().Sub(w.claimed)
 		if w.reserved == st || w.kept == st || len(w.runs) > 0 && st.rec.Gang {
-			room = room.Add(s.freedWithin(w, ahead))
+			room = room.Add(s.freedWithin(w, answerTime))
 		}
 		if n := min(timesIn(st.room(), room), want-found); n > 0 {
 			w.claimed = w.claimed.Add(st.room().Times(int64(n)))
@@ -218,18 +217,19 @@
 	return found >= need
 }
 
+// adviceCost returns the expected service time of a call that names this many workers.
 func (st *step) adviceCost(workers int) time.Duration {
 	a := st.job.rec.Policy.GetAdvice()
 	return time.Duration((a.GetDecideMs() + a.GetEachMs()*float64(workers)) * float64(time.Millisecond))
 }
 
-// adviceWanted returns the workers to ask about now: good ones whose tickets
-// expire and those that nothing is known of, the ones with room first.
-func (s *Scheduler) adviceWanted(st *step) []string {
+// workersToAsk returns the workers to name in a call now: eligible ones whose tickets
+// expire and those without an answer. Workers with room come first.
+func (s *Scheduler) workersToAsk(st *step) []string {
 	var roomy, full []string
 	stale, unknown := 0, 0
-	soonest := s.now + st.adviceCost(len(s.order)) + adviceMargin
-	for _, w := range s.order {
+	neededUntil := s.now + st.adviceCost(len(s.workerList)) + adviceMargin
+	for _, w := range s.workerList {
 		if !w.listed || w.entry.Draining || !s.suits(st, w) {
 			continue
 		}
@@ -237,7 +237,7 @@
 		switch {
 		case m == nil:
 			unknown++
-		case m.good && m.until < soonest:
+		case m.eligible && m.until < neededUntil:
 			stale++
 		default:
 			continue
@@ -249,42 +249,42 @@
 		}
 	}
 	if stale == 0 && st.advice.known > 0 && unknown <= st.advice.known/4 {
-		// A few new workers are worth no call of their own.
+		// A few new workers do not justify a separate call.
 		return nil
 	}
 	names := append(roomy, full...)
-	return names[:min(len(names), st.mostAsked())]
+	return names[:min(len(names), st.maxWorkersPerCall())]
 }
 
-// noteAdviser notes what an answer tells of the host that was asked.
-func (s *Scheduler) noteAdviser(ev Advised) {
+// noteAdviceCall updates the backlog of the host through which the call was sent.
+func (s *Scheduler) noteAdviceCall(ev Advised) {
 	switch {
 	case !ev.Failed:
-		s.advisers.answered(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.answered(ev.Order.Host, ev.Order.stepKey(), s.now)
 	case ev.NotSent:
-		s.advisers.notAsked(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.notSent(ev.Order.Host, ev.Order.stepKey(), s.now)
 	default:
-		s.advisers.unanswered(ev.Order.Host, ev.Order.about(), s.now)
+		s.advisers.unanswered(ev.Order.Host, ev.Order.stepKey(), s.now)
 	}
 }
 
-func (s *Scheduler) advised(ev Advised) {
-	s.noteAdviser(ev)
-	t := s.find(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
+func (s *Scheduler) adviceAnswered(ev Advised) {
+	s.noteAdviceCall(ev)
+	t := s.findTask(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
 	if t == nil {
 		return
 	}
 	st := t.step
-	st.advice.asking = false
+	st.advice.inFlight = false
 	if ev.Failed {
-		st.advice.retryAt = s.now + adviceRetry
+		st.advice.retryAt = s.now + adviceRetryPause
 		return
 	}
 	if st.advice.firstAt == 0 {
 		st.advice.firstAt = s.now
 	}
 	if st.open == 0 {
-		return // done meanwhile: nothing of it starts any more
+		return // the step is done, and nothing of it starts any more
 	}
 	tickets := make(map[string]string, len(ev.Tickets))
 	for _, k := range ev.Tickets {
@@ -294,10 +294,10 @@
 	for _, id := range ev.Order.Workers {
 		w, known := s.workers[id]
 		if !known {
-			continue // it has left since
+			continue // it has left the host list since the call
 		}
 		ticket, good := tickets[id]
-		m := adviceMark{worker: w, good: good, ticket: ticket}
+		m := adviceMark{worker: w, eligible: good, ticket: ticket}
 		if good {
 			m.until = until
 		}
--- a/region/step_test.go
+++ b/region/step_test.go
@@ -9,8 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Steps of every form run to their end, in order.
-func TestForms(t *testing.T) {
+// Steps of every form run to completion, in the order of their dependencies.
+func TestAllStepFormsComplete(t *testing.T) {
 	cases := map[string]*record.Job{
 		"plain":    oneStep("plain", &record.Step{Count: 5}),
 		"gang":     oneStep("gang", &record.Step{Count: 4, Gang: true}),
@@ -37,7 +37,7 @@
 					fw.entry.Labels = []string{"b", "r2-1"}
 				}
 			}
-			w.lead()
+			w.startLeader()
 			w.submit(job)
 			w.run(8 * time.Second)
 			w.mustComplete(job.Id)
@@ -45,14 +45,14 @@
 	}
 }
 
-// A step with advice starts only where the advice service allows it.
-func TestAdviceIsKept(t *testing.T) {
+// A step with advice starts only on workers for which the advice service issues a ticket.
+func TestStepWithAdviceNeedsTicket(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 6 {
 		w.addWorker(fmt.Sprintf("w%d", i), 4)
 	}
-	w.good = func(_, worker string) bool { return worker == "w3" }
-	w.lead()
+	w.issuesTicket = func(_, worker string) bool { return worker == "w3" }
+	w.startLeader()
 	j := oneStep("a", &record.Step{Count: 10})
 	j.Policy = &record.Policy{Service: "svc", MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
 		Advice: &record.Advice{DecideMs: 50, EachMs: 1, ValidMs: 2000}}
@@ -66,29 +66,29 @@
 	}
 }
 
-// A task that fails each time is tried as often as the queue allows, then its
-// job is failed and nothing of it runs on.
-func TestAttemptsRunOut(t *testing.T) {
+// A task that fails on every run is started as often as the queue's maximum attempts
+// allow; then its job fails and none of its tasks runs on.
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.addWorker("w2", 4)
 	w.fails = func(id model.TaskID, _ int32) bool { return id.Index == 0 }
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 2}))
 	w.run(10 * time.Second)
 	if w.states["a"] != StateFailed {
-		t.Fatalf("job is %v, not failed", w.states["a"])
+		t.Fatalf("job is %v, want failed", w.states["a"])
 	}
 	if n := w.starts[model.TaskID{Job: "a"}]; n != 3 {
 		t.Errorf("started %d times, want 3", n)
 	}
 }
 
-// A workspace never has more running than its cap, however much room there is.
-func TestCapHolds(t *testing.T) {
+// A workspace never uses more than its cap, however much capacity is free.
+func TestWorkspaceCapIsNotExceeded(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 32)
-	w.lead()
+	w.startLeader()
 	config := testConfig()
 	config.Workspaces["ws"] = model.Workspace{Name: "ws", Cap: model.Resources{MilliCPU: 3000}}
 	w.step(ConfigRead{Config: config})
@@ -96,81 +96,81 @@
 	for range 200 {
 		w.run(50 * time.Millisecond)
 		if n := len(w.workers["w1"].runs); n > 3 {
-			t.Fatalf("%d tasks run, the cap allows 3", n)
+			t.Fatalf("%d tasks run, want at most 3, the workspace's cap", n)
 		}
 	}
 	w.mustComplete("a")
 }
 
-// A caller withdraws a job: what runs of it is stopped and nothing more starts.
-func TestCancelStops(t *testing.T) {
+// When a caller cancels a job, its running tasks are stopped and no more are started.
+func TestCancelStopsRunningTasks(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.runTime = func(model.TaskID) time.Duration { return time.Minute }
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 8}))
 	w.run(time.Second)
 	w.cancel("a")
 	w.run(time.Second)
 	if n := len(w.workers["w1"].runs); n != 0 {
-		t.Errorf("%d tasks run on", n)
+		t.Errorf("%d tasks still run after the cancellation", n)
 	}
 	if w.states["a"] != StateCancelled {
-		t.Errorf("job is %v, not cancelled", w.states["a"])
+		t.Errorf("job is %v, want cancelled", w.states["a"])
 	}
 }
 
-// Tasks on one worker begin and never move, while it answers every look. The
-// caller's job must not wait for it: its tasks are stopped there and run on
-// the other worker.
-func TestHangingWorker(t *testing.T) {
+// Tasks on one worker start but make no progress, while the worker answers every
+// heartbeat. Without a check of progress the job would wait for them forever: they are
+// stopped there and run on the other worker.
+func TestHangingTasksAreMoved(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4).hangs = true
 	w.addWorker("w2", 4)
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 6}))
 	w.run(8 * time.Second)
 	w.mustComplete("a")
 }
 
-// One worker takes six times as long for everything, answers every look and fails
-// nothing. Urgent jobs that come at a steady rate would each be late there; those that
-// crawl go on elsewhere while they can still be of use.
-func TestCrawlingWorkerIsLeft(t *testing.T) {
+// One worker runs every task six times slower, answers every heartbeat and fails no
+// task. Urgent jobs arrive at a steady rate and would each be late there; their slow
+// tasks must be moved to other workers before the result is useless.
+func TestUrgentTasksAreMovedOffSlowWorker(t *testing.T) {
 	w := mixedWorld(t, 3)
 	for i := range 40 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
 		w.run(50 * time.Millisecond)
 	}
-	var slow *fakeWorker
+	var slowWorker *fakeWorker
 	for _, name := range w.names {
-		if fw := w.workers[name]; slow == nil || len(fw.runs) > len(slow.runs) {
-			slow = fw
+		if fw := w.workers[name]; slowWorker == nil || len(fw.runs) > len(slowWorker.runs) {
+			slowWorker = fw
 		}
 	}
-	slow.slow = 6
-	done, at := make(map[string]time.Duration), make(map[string]time.Duration)
+	slowWorker.slowdown = 6
+	doneAt, submittedAt := make(map[string]time.Duration), make(map[string]time.Duration)
 	for i := range 60 {
 		id := fmt.Sprintf("u%d", 100+i)
 		w.submitTo(urgentJob(id), "urgent")
-		at[id] = w.now
+		submittedAt[id] = w.now
 		w.run(50 * time.Millisecond)
-		noteDone(w, done)
+		noteDone(w, doneAt)
 	}
 	for range 100 {
 		w.run(50 * time.Millisecond)
-		noteDone(w, done)
+		noteDone(w, doneAt)
 	}
-	for id, from := range at {
-		if end, ok := done[id]; !ok || end-from > urgentUseless {
-			t.Errorf("job %s was completed after %v", id, end-from)
+	for id, submitted := range submittedAt {
+		if end, ok := doneAt[id]; !ok || end-submitted > urgentUseless {
+			t.Errorf("job %s completed too late or not at all: after %v", id, end-submitted)
 		}
 	}
 }
 
 // A task takes three and a half times as long as its queue's tasks usually do, on a
-// sound worker. To stop it would throw its work away for nothing.
-func TestLongTaskIsNotTakenForCrawling(t *testing.T) {
+// healthy worker. Stopping it would waste its work without a benefit.
+func TestLongTaskOnHealthyWorkerIsNotMoved(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -185,10 +185,9 @@
 	}
 }
 
-// A task takes ten times as long as its queue's tasks, wherever it runs. It may be
-// moved once, on the suspicion that its worker is slow, but must end: moved each time
-// it would never be done.
-func TestTaskThatReallyTakesLongEnds(t *testing.T) {
+// A task takes ten times as long as its queue's tasks on any worker. It may be moved
+// once, since its worker may be slow, but not each time: it would never complete.
+func TestLongTaskIsMovedAtMostOnce(t *testing.T) {
 	w := mixedWorld(t, 2)
 	for i := range 20 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
@@ -203,36 +202,36 @@
 	}
 }
 
-// A task that lasts is started again however it ends, as often as it takes, and
-// ends for good only with its job.
+// A long-running task is restarted after every end, without a limit of attempts, until
+// its job is cancelled.
 func TestLongRunningIsRestarted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.fails = func(_ model.TaskID, run int32) bool { return run%2 == 0 }
-	w.lasting = true
-	w.lead()
+	w.longRunning = true
+	w.startLeader()
 	w.submit(oneStep("a", &record.Step{Count: 1, LongRunning: true}))
 	w.run(10 * time.Second)
 	id := model.TaskID{Job: "a"}
 	if n := w.starts[id]; n < 10 {
-		t.Errorf("started %d times in 10 s of runs of 0.5 s", n)
+		t.Errorf("started %d times in 10 s, want at least 10 with runs of 0.5 s", n)
 	}
 	if w.states["a"] != StateRunning {
-		t.Errorf("job is %v, not running", w.states["a"])
+		t.Errorf("job is %v, want running", w.states["a"])
 	}
 	w.cancel("a")
 	w.run(2 * time.Second)
 	n := w.starts[id]
 	w.run(2 * time.Second)
 	if w.starts[id] != n {
-		t.Error("started after its job was cancelled")
+		t.Error("task started after its job was cancelled")
 	}
 }
 
-// All workers are full of long batch work when a service is handed in whose
-// users wait for it. It is at work within seconds, at the cost of the batch
-// tasks that lose least, and those are done later.
-func TestLastingTaskMakesRoom(t *testing.T) {
+// All workers are full of long batch tasks when a long-running service is submitted.
+// It must run within seconds: it preempts the batch tasks that lose least work, and
+// those complete later.
+func TestLongRunningTaskPreemptsBatch(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 4)
 	w.addWorker("w2", 4)
@@ -242,7 +241,7 @@
 		}
 		return 20 * time.Second
 	}
-	w.lead()
+	w.startLeader()
 	w.submit(oneStep("batch", &record.Step{Count: 8}))
 	w.run(2 * time.Second)
 	w.submit(oneStep("service", &record.Step{Count: 1, LongRunning: true, Request: &record.Resources{MilliCpu: 2000, MemoryMib: 100}}))
@@ -256,28 +255,28 @@
 		}
 	}
 	if running != 1 {
-		t.Fatalf("%d tasks of the service run after 3 s", running)
+		t.Fatalf("%d tasks of the service run after 3 s, want 1", running)
 	}
 	w.run(60 * time.Second)
 	w.mustComplete("batch")
 }
 
-// A gang's members wait for one that never comes, and hold their room for nothing. The
-// worker of one member does not answer its starts; they are given up, and a stop goes
-// there, which is not answered either:
+// Gang members wait for a member that never starts, and occupy their capacity in vain.
+// The worker of one member does not answer its starts; the scheduler gives them up and
+// sends a stop, which is not answered either:
 //
-//	31.724 task 1 begins, and waits for the others
+//	31.724 task 1 starts and waits for the others
 //	32.606 run stopped        task 0  its worker did not answer
 //	33.222 stop failed        task 0  no answer (three times)
 //	34.724 task 1 ends alone
 //
-// From the moment at which one member's start is given up the run cannot become whole:
-// the others are to be stopped then, not when that member is settled.
-func TestGangWithAStartGivenUp(t *testing.T) {
+// Once one member's start is given up, the run cannot become complete: the others must
+// be stopped then, not when that member is settled.
+func TestGangIsStoppedWhenOneStartIsGivenUp(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.addWorker("w2", 1)
-	w.lead()
+	w.startLeader()
 	w.run(100 * time.Millisecond)
 	w.submit(oneStep("gang", &record.Step{Count: 2, Gang: true}))
 	for assigned := false; !assigned; {
@@ -286,12 +285,12 @@
 			assigned = assigned || e.GetAssigned() != nil
 		}
 	}
-	w.workers["w1"].cut = true
+	w.workers["w1"].unreachable = true
 	w.run(testGangWait + time.Second)
-	if alone := w.workers["w2"].alone; len(alone) != 0 {
-		t.Errorf("%v waited to the end for a member whose start had been given up", alone)
+	if alone := w.workers["w2"].gangTimeouts; len(alone) != 0 {
+		t.Errorf("%v waited until the time-out for a member whose start had been given up", alone)
 	}
-	w.workers["w1"].cut = false
+	w.workers["w1"].unreachable = false
 	w.run(15 * time.Second)
 	w.mustComplete("gang")
 }
