--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -14,14 +14,14 @@
 // their deadlines. The host that accepts a job notifies the leader of it.
 func TestLeaderIsNotifiedOfAppendedJobs(t *testing.T) {
 	f := newTestRegion(t, 2, 2, 50*time.Millisecond)
-	f.store.Hush(leader.TopicIntake, true)
+	f.store.SuppressReads(leader.TopicIntake, true)
 	for n, m := range f.hosts {
 		if status, _ := f.call(m, http.MethodPost, jobPath(n), "k1", twoTasks); status != http.StatusOK {
 			t.Fatalf("submission answered %d", status)
 		}
 		f.waitUntil("the job is completed", func() bool { return f.completed(m, n) })
 	}
-	f.store.Hush(leader.TopicIntake, false)
+	f.store.SuppressReads(leader.TopicIntake, false)
 	f.waitUntil("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
@@ -41,7 +41,7 @@
 	if status, _ := f.call(isolated, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted before the partition")
 	}
-	isolated.door.Silence(true)
+	isolated.door.Blackhole(true)
 	first.stop()
 	<-first.done
 	req, err := http.NewRequest(http.MethodPost, "http://"+isolated.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
@@ -65,7 +65,7 @@
 	if isolated.Ready() {
 		t.Error("the isolated host is ready")
 	}
-	isolated.door.Silence(false)
+	isolated.door.Blackhole(false)
 	f.waitUntil("the host leads after the partition", func() bool { return f.leader() == isolated })
 	f.waitUntil("the job is completed", func() bool { return f.completed(isolated, 1) })
 }
--- a/host/election.go
+++ b/host/election.go
@@ -399,12 +399,12 @@
 	if err != nil {
 		panic(err) // a message of three strings always encodes
 	}
-	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, At: at})
+	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, ExpectedEnd: at})
 	if err != nil {
 		// Without an answer the claim may be in the log. watchClaims reads it then, and
 		// because it names this host, which does not lead, leaderGone makes it claim again.
 		e.host.log.WithError(err).WithField("after_fence", fence).Info("lead not claimed")
-		if platform.Moved(err) {
+		if platform.IsEndMismatch(err) {
 			e.readClaims(ctx)
 		}
 		return false
--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -28,7 +28,7 @@
 // testHost is one host with its own access to the log.
 type testHost struct {
 	*Host
-	door *fakeplatform.Door
+	door *fakeplatform.Endpoint
 	stop context.CancelFunc
 	done chan struct{}
 }
@@ -67,7 +67,7 @@
 // addWith adds a host with additional lines of settings.
 func (f *testRegion) addWith(name, extraSettings string) *testHost {
 	f.t.Helper()
-	m := &testHost{door: f.store.Door(), done: make(chan struct{})}
+	m := &testHost{door: f.store.Endpoint(), done: make(chan struct{})}
 	settings := filepath.Join(f.t.TempDir(), "settings")
 	text := fmt.Sprintf("node=%s\nip=127.0.0.1\nzone=z1\nlisten.front=%s\nlisten.ready=%s\nlisten.control=%s\nplatform.address=%s\n"+
 		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.door.Address(), extraSettings)
--- a/host/host.go
+++ b/host/host.go
@@ -77,7 +77,7 @@
 // New returns a host with the given settings. Run starts it.
 func New(s platform.Settings, tel *telemetry.Telemetry) *Host {
 	meter := linkstats.New(tel.Metrics.SubScope("link"))
-	client := platform.NewClient(s.Names, connsPerAddress, meter)
+	client := platform.NewClient(s.Addresses, connsPerAddress, meter)
 	h := &Host{
 		settings: s, incarnation: newIncarnation(), client: client,
 		meter: meter, linkLoad: linkstats.NewLoad(meter, s.LinkBps),
@@ -92,7 +92,7 @@
 	h.config.confirmedAt.Store(int64(boottime.Now() - time.Hour))
 	h.election = newElection(h)
 	h.intake = logwriter.New(client, logwriter.Target{
-		Topic: leader.TopicIntake, Parts: leader.IntakeParts, Producer: s.Host + "/" + h.incarnation, Epoch: 1, FirstSeq: 1, CallBytes: s.CallBytes,
+		Topic: leader.TopicIntake, Parts: leader.IntakeParts, Producer: s.Host + "/" + h.incarnation, Epoch: 1, FirstSeq: 1, CallBytes: s.MaxAppendBytes,
 	})
 	return h
 }
@@ -235,7 +235,7 @@
 
 func (h *Host) leaderConfig(fence int64) leader.Config {
 	return leader.Config{
-		Client: h.client, Fence: fence, CallBytes: h.settings.CallBytes, LinkBps: h.settings.LinkBps,
+		Client: h.client, Fence: fence, CallBytes: h.settings.MaxAppendBytes, LinkBps: h.settings.LinkBps,
 		Options: region.Options{
 			MaxLease: h.settings.MaxLease, Lease: time.Duration(float64(h.settings.MaxLease) * leaseShare),
 			LogRetention: h.settings.LogRetention, StatusKept: h.settings.StatusRetention,
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -22,9 +22,9 @@
 // apply an end before the assignment that it belongs to, and treat a completed task as running.
 func TestEntriesOfSeveralPartitionsAreMergedInOrder(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door := store.Door()
+	door := store.Endpoint()
 	defer door.Close()
-	client := platform.NewClient(platform.Names{Store: door.Address()}, 2, nil)
+	client := platform.NewClient(platform.Addresses{Log: door.Address()}, 2, nil)
 	parts := [entryParts][][2]int64{{{1, 1}, {1, 4}, {2, 1}}, {{1, 2}, {1, 3}, {1, 4}}, {{2, 2}}}
 	var ends []int64
 	for part, entries := range parts {
@@ -37,7 +37,7 @@
 			records = append(records, data)
 		}
 		got, err := client.Append(context.Background(), 5*time.Second, platform.Append{
-			Topic: TopicEntries, Part: part, Records: records, At: -1,
+			Topic: TopicEntries, Part: part, Records: records, ExpectedEnd: -1,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -99,13 +99,13 @@
 // to load again: there was no leader for half a minute. A loading leader appends heartbeats.
 func TestLoadingLeaderAppendsHeartbeats(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door, watching := store.Door(), store.Door()
+	door, watching := store.Endpoint(), store.Endpoint()
 	defer door.Close()
 	defer watching.Close()
 	door.Stall("log-read")
 	defer door.Stall("")
 	l := New(Config{
-		Client: platform.NewClient(platform.Names{Store: door.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
+		Client: platform.NewClient(platform.Addresses{Log: door.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
 		Log: logrus.NewEntry(logrus.New()), Metrics: tally.NoopScope,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 	defer run.Wait()
 	defer cancel()
 	run.Go(func() { _ = l.Run(ctx) }) // ends with ctx
-	w := NewWatcher(platform.NewClient(platform.Names{Store: watching.Address()}, 4, nil))
+	w := NewWatcher(platform.NewClient(platform.Addresses{Log: watching.Address()}, 4, nil))
 	heartbeats := 0
 	for range 100 { // heartbeats may be late on a busy machine
 		if grown, _ := w.poll(ctx, heartbeatInterval); grown {
--- a/soak/lapse_test.go
+++ b/soak/lapse_test.go
@@ -25,7 +25,7 @@
 }
 
 // see takes in what a worker saw; the worker is locked meanwhile.
-func (l *lapseWatch) see(e fakeplatform.WorkerSaw) {
+func (l *lapseWatch) see(e fakeplatform.WorkerEvent) {
 	l.fleet.audit.see(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 			l.cut = l.fleet.workerOf(e.Worker)
 			l.cut.way.set(silent)
 		}
-	case e.What == fakeplatform.EndNoted && e.Worker == l.cut.ID && e.Run == 1:
+	case e.What == fakeplatform.EndAcked && e.Worker == l.cut.ID && e.Run == 1:
 		l.noted = true
 	}
 }
