--- a/model/model.go
+++ b/model/model.go
@@ -180,9 +180,9 @@
 	Fence  int64
 }
 
-// HoldRequest is the heartbeat request to a worker: it renews the leases of all its
+// ProbeRequest is the heartbeat request to a worker: it renews the leases of all its
 // runs, acks the ends up to AckedUpTo, and asks for the remaining runs and ends.
-type HoldRequest struct {
+type ProbeRequest struct {
 	Worker    WorkerRef
 	UntilMs   int64 // new end of the leases on the worker's clock, in milliseconds; 0 renews none
 	AckedUpTo int64
--- a/region/event.go
+++ b/region/event.go
@@ -45,7 +45,7 @@
 
 	// Held is the answer to a Hold that was sent at SentAt.
 	Held struct {
-		Order  model.HoldRequest
+		Order  model.ProbeRequest
 		SentAt time.Duration
 		Hold   model.HoldResponse
 		Err    CallError
@@ -144,7 +144,7 @@
 	// Hold is a probe of a worker: it renews its leases and reads which runs are
 	// alive or have ended.
 	Hold struct {
-		Order model.HoldRequest
+		Order model.ProbeRequest
 		After time.Duration
 	}
 
--- a/region/probe.go
+++ b/region/probe.go
@@ -50,7 +50,7 @@
 	if w.probing || !s.leading() || w.entry.Address == "" {
 		return
 	}
-	order := model.HoldRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
+	order := model.ProbeRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
 	// After an unanswered probe, leases are not extended until the worker answers. Each
 	// renewal may be executed late, so that the runs of a worker that does not come back
 	// could never be declared lost. Such a probe renews and acknowledges nothing and only
