--- a/model/model.go
+++ b/model/model.go
@@ -216,8 +216,8 @@
 	Checkpoint   string
 }
 
-// HoldResponse is a worker's response to a HoldRequest.
-type HoldResponse struct {
+// ProbeResponse is a worker's response to a HoldRequest.
+type ProbeResponse struct {
 	ClockMs  int64
 	BornUnix int64
 	Running  []Running
--- a/region/event.go
+++ b/region/event.go
@@ -47,7 +47,7 @@
 	Held struct {
 		Order  model.ProbeRequest
 		SentAt time.Duration
-		Hold   model.HoldResponse
+		Hold   model.ProbeResponse
 		Err    CallError
 	}
 
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -231,7 +231,7 @@
 
 func (w *world) hold(generation int, c Hold) {
 	sent := w.now + c.After
-	var got model.HoldResponse
+	var got model.ProbeResponse
 	w.call(generation, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
 		if c.Order.Fence < fw.fence {
 			return CallFenced
@@ -245,7 +245,7 @@
 			fw.ends = fw.ends[1:]
 			fw.voidEnds = max(0, fw.voidEnds-1)
 		}
-		got = model.HoldResponse{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
+		got = model.ProbeResponse{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
 		for id, r := range fw.runs {
 			got.Running = append(got.Running, model.Running{
 				RunID: model.RunID{Task: id, Run: r.number}, Checkpoint: w.save(id, r), Percent: fw.percent(w.now, r),
