--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -111,7 +111,7 @@
 
 func (d *dispatcher) probe(c region.Hold) {
 	sent := boottime.Now()
-	hold, err := d.leader.cfg.Client.Heartbeat(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
+	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
 	d.observeCall(sent, c.Order.Wait, err)
 	d.leader.push(d.ctx, region.Held{Order: c.Order, SentAt: sent, Hold: hold, Err: callError(platform.Receipt{Err: err}, nil)})
 }
