--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -40,7 +40,7 @@
 			d.runAfter(c.After, func() { d.start(c) })
 		case region.Stop:
 			d.runAfter(c.After, func() { d.stop(c) })
-		case region.Hold:
+		case region.Probe:
 			d.runAfter(c.After, func() { d.probe(c) })
 		case region.Advise:
 			d.runAfter(0, func() { d.advise(c) })
@@ -109,7 +109,7 @@
 	d.leader.push(d.ctx, region.StopAnswered{Order: c.Order, SentAt: sent, Err: callError(receipt, err)})
 }
 
-func (d *dispatcher) probe(c region.Hold) {
+func (d *dispatcher) probe(c region.Probe) {
 	sent := boottime.Now()
 	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
 	d.observeCall(sent, c.Order.Wait, err)
--- a/region/event.go
+++ b/region/event.go
@@ -141,9 +141,9 @@
 		Order model.StopRequest
 		After time.Duration
 	}
-	// Hold is a probe of a worker: it renews its leases and reads which runs are
+	// Probe is a probe of a worker: it renews its leases and reads which runs are
 	// alive or have ended.
-	Hold struct {
+	Probe struct {
 		Order model.ProbeRequest
 		After time.Duration
 	}
@@ -189,7 +189,7 @@
 func (Append) isCommand()  {}
 func (Start) isCommand()   {}
 func (Stop) isCommand()    {}
-func (Hold) isCommand()    {}
+func (Probe) isCommand()    {}
 func (Advise) isCommand()  {}
 func (Publish) isCommand() {}
 func (Deposed) isCommand() {}
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -18,7 +18,7 @@
 		}
 		order := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
 		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
-			if h, ok := c.(Hold); ok {
+			if h, ok := c.(Probe); ok {
 				return h.After
 			}
 		}
--- a/region/probe.go
+++ b/region/probe.go
@@ -67,7 +67,7 @@
 		order.UntilMs = s.grantLease(w)
 	}
 	w.probing = true
-	s.emit(Hold{Order: order, After: after})
+	s.emit(Probe{Order: order, After: after})
 }
 
 func (s *Scheduler) probeAnswered(ev Held) {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -253,7 +253,7 @@
 	case Stop:
 		w.call(generation, "stop", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Order) },
 			func(e CallError) Event { return StopAnswered{Order: c.Order, Err: e} })
-	case Hold:
+	case Probe:
 		w.hold(generation, c)
 	case Advise:
 		w.advise(generation, c)
