--- a/region/event.go
+++ b/region/event.go
@@ -43,8 +43,8 @@
 		SentAt time.Duration
 	}
 
-	// Held is the answer to a Hold that was sent at SentAt.
-	Held struct {
+	// ProbeAnswered is the answer to a Hold that was sent at SentAt.
+	ProbeAnswered struct {
 		Order  model.ProbeRequest
 		SentAt time.Duration
 		Hold   model.ProbeResponse
@@ -98,7 +98,7 @@
 func (WorkerListed) isEvent()   {}
 func (WorkerUnlisted) isEvent() {}
 func (Committed) isEvent()      {}
-func (Held) isEvent()           {}
+func (ProbeAnswered) isEvent()           {}
 func (StartAnswered) isEvent()  {}
 func (StopAnswered) isEvent()   {}
 func (Advised) isEvent()        {}
--- a/region/probe.go
+++ b/region/probe.go
@@ -70,7 +70,7 @@
 	s.emit(Probe{Order: order, After: after})
 }
 
-func (s *Scheduler) probeAnswered(ev Held) {
+func (s *Scheduler) probeAnswered(ev ProbeAnswered) {
 	w, known := s.workers[ev.Order.Worker.ID]
 	if !known {
 		return
@@ -131,7 +131,7 @@
 	s.probe(w, after)
 }
 
-func (s *Scheduler) readProbe(w *worker, ev Held) {
+func (s *Scheduler) readProbe(w *worker, ev ProbeAnswered) {
 	w.clockMs, w.clockAt = ev.Hold.ClockMs, s.now
 	if !w.fenced {
 		w.fenced = true
--- a/region/region.go
+++ b/region/region.go
@@ -158,7 +158,7 @@
 		s.workerUnlisted(ev.ID)
 	case Committed:
 		s.onCommitted(ev)
-	case Held:
+	case ProbeAnswered:
 		s.probeAnswered(ev)
 	case StartAnswered:
 		s.startAnswered(ev)
