--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -113,7 +113,7 @@
 	sent := boottime.Now()
 	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
 	d.observeCall(sent, c.Order.Wait, err)
-	d.leader.push(d.ctx, region.ProbeAnswered{Order: c.Order, SentAt: sent, Hold: hold, Err: callError(platform.Receipt{Err: err}, nil)})
+	d.leader.push(d.ctx, region.ProbeAnswered{Order: c.Order, SentAt: sent, Response: hold, Err: callError(platform.Receipt{Err: err}, nil)})
 }
 
 func (d *dispatcher) advise(c region.Advise) {
--- a/region/event.go
+++ b/region/event.go
@@ -47,7 +47,7 @@
 	ProbeAnswered struct {
 		Order  model.ProbeRequest
 		SentAt time.Duration
-		Hold   model.ProbeResponse
+		Response   model.ProbeResponse
 		Err    CallError
 	}
 
--- a/region/probe.go
+++ b/region/probe.go
@@ -132,23 +132,23 @@
 }
 
 func (s *Scheduler) readProbe(w *worker, ev ProbeAnswered) {
-	w.clockMs, w.clockAt = ev.Hold.ClockMs, s.now
+	w.clockMs, w.clockAt = ev.Response.ClockMs, s.now
 	if !w.fenced {
 		w.fenced = true
 		// Leases granted by an earlier leader end within the longest lease from now.
-		w.leaseMs = max(w.leaseMs, ev.Hold.ClockMs+s.opts.MaxLease.Milliseconds())
+		w.leaseMs = max(w.leaseMs, ev.Response.ClockMs+s.opts.MaxLease.Milliseconds())
 		s.dirty = true
 	}
 	w.probedAt = max(w.probedAt, ev.SentAt)
-	for _, e := range ev.Hold.Ended {
+	for _, e := range ev.Response.Ended {
 		s.readEnd(w, e)
 	}
-	listed := make(map[model.TaskID]bool, len(ev.Hold.Running))
-	for _, row := range ev.Hold.Running {
+	listed := make(map[model.TaskID]bool, len(ev.Response.Running))
+	for _, row := range ev.Response.Running {
 		listed[row.Task] = true
 		s.readRunning(w, row)
 	}
-	if len(ev.Hold.Ended) < maxEndsListed {
+	if len(ev.Response.Ended) < maxEndsListed {
 		s.endUnlisted(w, listed, ev.SentAt)
 	}
 }
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -253,5 +253,5 @@
 		}
 		sort.Slice(got.Running, func(i, j int) bool { return fmt.Sprint(got.Running[i].Task) < fmt.Sprint(got.Running[j].Task) })
 		return CallOK
-	}, func(e CallError) Event { return ProbeAnswered{Order: c.Order, SentAt: sent, Hold: got, Err: e} })
+	}, func(e CallError) Event { return ProbeAnswered{Order: c.Order, SentAt: sent, Response: got, Err: e} })
 }
