--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -94,26 +94,26 @@
 
 func (d *dispatcher) start(c region.Start) {
 	sent := boottime.Now()
-	receipt, err := d.leader.cfg.Client.Start(d.ctx, d.startStopTimeout(), c.Order)
+	receipt, err := d.leader.cfg.Client.Start(d.ctx, d.startStopTimeout(), c.Request)
 	d.observeCall(sent, 0, err)
-	d.leader.push(d.ctx, region.StartAnswered{Order: c.Order, SentAt: sent, Err: callError(receipt, err)})
+	d.leader.push(d.ctx, region.StartAnswered{Request: c.Request, SentAt: sent, Err: callError(receipt, err)})
 }
 
 func (d *dispatcher) stop(c region.Stop) {
 	sent := boottime.Now()
-	receipt, err := d.leader.cfg.Client.Stop(d.ctx, d.startStopTimeout(), c.Order)
+	receipt, err := d.leader.cfg.Client.Stop(d.ctx, d.startStopTimeout(), c.Request)
 	d.observeCall(sent, 0, err)
 	if stopErr := errors.CombineErrors(err, receipt.Err); stopErr != nil {
-		d.leader.cfg.Log.WithError(stopErr).WithFields(logrus.Fields{"job": c.Order.Task.Job, "worker": c.Order.Worker.ID, "run": c.Order.Run}).Info("stop failed")
+		d.leader.cfg.Log.WithError(stopErr).WithFields(logrus.Fields{"job": c.Request.Task.Job, "worker": c.Request.Worker.ID, "run": c.Request.Run}).Info("stop failed")
 	}
-	d.leader.push(d.ctx, region.StopAnswered{Order: c.Order, SentAt: sent, Err: callError(receipt, err)})
+	d.leader.push(d.ctx, region.StopAnswered{Request: c.Request, SentAt: sent, Err: callError(receipt, err)})
 }
 
 func (d *dispatcher) probe(c region.Probe) {
 	sent := boottime.Now()
-	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Order)
-	d.observeCall(sent, c.Order.Wait, err)
-	d.leader.push(d.ctx, region.ProbeAnswered{Order: c.Order, SentAt: sent, Response: hold, Err: callError(platform.Receipt{Err: err}, nil)})
+	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Request)
+	d.observeCall(sent, c.Request.Wait, err)
+	d.leader.push(d.ctx, region.ProbeAnswered{Request: c.Request, SentAt: sent, Response: hold, Err: callError(platform.Receipt{Err: err}, nil)})
 }
 
 func (d *dispatcher) advise(c region.Advise) {
@@ -122,7 +122,7 @@
 		d.leader.cfg.Metrics.Counter("advice_failures").Inc(1)
 		d.leader.cfg.Log.WithError(err).WithFields(logrus.Fields{"job": c.Job, "asked_by": c.Host}).Info("advice failed")
 	}
-	d.leader.push(d.ctx, region.Advised{Order: c, Tickets: tickets, At: boottime.Now(), Failed: err != nil, NotSent: platform.IsNotSent(err) || platform.IsRefused(err)})
+	d.leader.push(d.ctx, region.Advised{Request: c, Tickets: tickets, At: boottime.Now(), Failed: err != nil, NotSent: platform.IsNotSent(err) || platform.IsRefused(err)})
 }
 
 func (d *dispatcher) explain(c region.Explain) {
--- a/region/advice.go
+++ b/region/advice.go
@@ -260,17 +260,17 @@
 func (s *Scheduler) noteAdviceCall(ev Advised) {
 	switch {
 	case !ev.Failed:
-		s.advisers.answered(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.answered(ev.Request.Host, ev.Request.stepKey(), s.now)
 	case ev.NotSent:
-		s.advisers.notSent(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.notSent(ev.Request.Host, ev.Request.stepKey(), s.now)
 	default:
-		s.advisers.unanswered(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.unanswered(ev.Request.Host, ev.Request.stepKey(), s.now)
 	}
 }
 
 func (s *Scheduler) adviceAnswered(ev Advised) {
 	s.noteAdviceCall(ev)
-	t := s.findTask(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
+	t := s.findTask(model.TaskID{Job: ev.Request.Job, Occurrence: ev.Request.Occurrence, Step: ev.Request.Step})
 	if t == nil {
 		return
 	}
@@ -291,7 +291,7 @@
 		tickets[k.Worker] = k.Ticket
 	}
 	until := ev.At + time.Duration(st.job.rec.Policy.GetAdvice().GetValidMs())*time.Millisecond - adviceMargin
-	for _, id := range ev.Order.Workers {
+	for _, id := range ev.Request.Workers {
 		w, known := s.workers[id]
 		if !known {
 			continue // it has left the host list since the call
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -23,7 +23,7 @@
 		s.Step(now, WorkerListed{Entry: model.WorkerEntry{
 			ID: id, Service: "svc", Address: id, Capacity: model.Resources{MilliCPU: 32000, MemoryMiB: 64 << 10}, BornUnix: 1,
 		}})
-		s.Step(now, ProbeAnswered{Order: model.ProbeRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}})
+		s.Step(now, ProbeAnswered{Request: model.ProbeRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}})
 	}
 	for _, w := range s.workerList {
 		w.used.MilliCPU = used
--- a/region/event.go
+++ b/region/event.go
@@ -45,7 +45,7 @@
 
 	// ProbeAnswered is the answer to a Hold that was sent at SentAt.
 	ProbeAnswered struct {
-		Order  model.ProbeRequest
+		Request  model.ProbeRequest
 		SentAt time.Duration
 		Response   model.ProbeResponse
 		Err    CallError
@@ -53,21 +53,21 @@
 
 	// StartAnswered is the answer to a Start that was sent at SentAt.
 	StartAnswered struct {
-		Order  model.StartRequest
+		Request  model.StartRequest
 		SentAt time.Duration
 		Err    CallError
 	}
 
 	// StopAnswered is the answer to a Stop that was sent at SentAt.
 	StopAnswered struct {
-		Order  model.StopRequest
+		Request  model.StopRequest
 		SentAt time.Duration
 		Err    CallError
 	}
 
 	// Advised is the answer to an Advise.
 	Advised struct {
-		Order   Advise
+		Request   Advise
 		Tickets []model.Ticket
 		At      time.Duration // when the answer came
 		Failed  bool
@@ -133,18 +133,18 @@
 
 	// Start asks a worker to start a run.
 	Start struct {
-		Order model.StartRequest
+		Request model.StartRequest
 		After time.Duration
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
-		Order model.StopRequest
+		Request model.StopRequest
 		After time.Duration
 	}
 	// Probe is a probe of a worker: it renews its leases and reads which runs are
 	// alive or have ended.
 	Probe struct {
-		Order model.ProbeRequest
+		Request model.ProbeRequest
 		After time.Duration
 	}
 
--- a/region/late_start_test.go
+++ b/region/late_start_test.go
@@ -218,7 +218,7 @@
 	w, fw := lateStartWorld(t, 2*time.Second, &record.Step{Count: 1})
 	id := model.TaskID{Job: "a"}
 	r := w.sched.findTask(id).run
-	w.deliver(StartAnswered{Order: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
+	w.deliver(StartAnswered{Request: model.StartRequest{RunID: r.id(), Worker: r.ref}, Err: CallNoAnswer})
 	w.run(100 * time.Millisecond)
 	if n := len(fw.runs); n != 1 {
 		t.Fatalf("%d runs on w1, want that of the second start", n)
--- a/region/probe.go
+++ b/region/probe.go
@@ -67,16 +67,16 @@
 		order.UntilMs = s.grantLease(w)
 	}
 	w.probing = true
-	s.emit(Probe{Order: order, After: after})
+	s.emit(Probe{Request: order, After: after})
 }
 
 func (s *Scheduler) probeAnswered(ev ProbeAnswered) {
-	w, known := s.workers[ev.Order.Worker.ID]
+	w, known := s.workers[ev.Request.Worker.ID]
 	if !known {
 		return
 	}
 	w.probing = false
-	if ev.Order.Worker.BornUnix != w.entry.BornUnix {
+	if ev.Request.Worker.BornUnix != w.entry.BornUnix {
 		s.probe(w, 0)
 		return
 	}
@@ -195,7 +195,7 @@
 // over.
 func (s *Scheduler) stopStray(w *worker, id model.RunID) {
 	s.explain(id.Task.Job, "stray run stopped", Field{"worker", w.entry.ID}, Field{"run", id.Run}, Field{"step", id.Task.Step}, Field{"task", id.Task.Index})
-	s.emit(Stop{Order: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
+	s.emit(Stop{Request: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
 }
 
 // endUnlisted ends the runs that the answer to a probe does not list, if the probe was sent
--- a/region/run.go
+++ b/region/run.go
@@ -167,7 +167,7 @@
 	r.startAttempts++
 	r.calls.sent(s.now + after)
 	r.worker.pendingOrders.sent(r.id(), s.now+after)
-	s.emit(Start{After: after, Order: model.StartRequest{
+	s.emit(Start{After: after, Request: model.StartRequest{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
 		Ticket: r.ticket, UntilMs: r.leaseUntil, Fence: s.fenceOf(r.worker),
@@ -185,12 +185,12 @@
 }
 
 func (s *Scheduler) startAnswered(ev StartAnswered) {
-	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
+	s.orderAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil {
 		return
 	}
-	if ev.Err == CallFenced && ev.Order.Fence == s.fenceOf(r.worker) {
+	if ev.Err == CallFenced && ev.Request.Fence == s.fenceOf(r.worker) {
 		s.emit(Deposed{Worker: r.ref.ID})
 		return
 	}
@@ -291,14 +291,14 @@
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
 	r.worker.pendingOrders.sent(r.id(), s.now+after)
-	s.emit(Stop{After: after, Order: model.StopRequest{
+	s.emit(Stop{After: after, Request: model.StopRequest{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
 }
 
 func (s *Scheduler) stopAnswered(ev StopAnswered) {
-	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
+	s.orderAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil || r.phase != phaseStopping {
 		return
 	}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -247,12 +247,12 @@
 	case Publish:
 		w.states[c.Job] = c.State
 	case Start:
-		w.checkNotCancelled(c.Order)
-		w.call(generation, "start", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Order) },
-			func(e CallError) Event { return StartAnswered{Order: c.Order, Err: e} })
+		w.checkNotCancelled(c.Request)
+		w.call(generation, "start", c.After, c.Request.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Request) },
+			func(e CallError) Event { return StartAnswered{Request: c.Request, Err: e} })
 	case Stop:
-		w.call(generation, "stop", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Order) },
-			func(e CallError) Event { return StopAnswered{Order: c.Order, Err: e} })
+		w.call(generation, "stop", c.After, c.Request.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Request) },
+			func(e CallError) Event { return StopAnswered{Request: c.Request, Err: e} })
 	case Probe:
 		w.hold(generation, c)
 	case Advise:
@@ -341,7 +341,7 @@
 		took, answered = w.advice.advise(c)
 	}
 	w.answer(generation, took, func() Event {
-		ev := Advised{Order: c, At: w.now, Failed: !answered}
+		ev := Advised{Request: c, At: w.now, Failed: !answered}
 		if ev.Failed {
 			return ev
 		}
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -232,16 +232,16 @@
 func (w *world) hold(generation int, c Probe) {
 	sent := w.now + c.After
 	var got model.ProbeResponse
-	w.call(generation, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
-		if c.Order.Fence < fw.fence {
+	w.call(generation, "hold", c.After, c.Request.Worker, func(fw *fakeWorker) CallError {
+		if c.Request.Fence < fw.fence {
 			return CallFenced
 		}
-		fw.fence = c.Order.Fence
+		fw.fence = c.Request.Fence
 		w.expireLease(fw)
-		if c.Order.UntilMs > 0 {
-			fw.until = max(fw.until, min(c.Order.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
+		if c.Request.UntilMs > 0 {
+			fw.until = max(fw.until, min(c.Request.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
 		}
-		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Order.AckedUpTo {
+		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Request.AckedUpTo {
 			fw.ends = fw.ends[1:]
 			fw.voidEnds = max(0, fw.voidEnds-1)
 		}
@@ -253,5 +253,5 @@
 		}
 		sort.Slice(got.Running, func(i, j int) bool { return fmt.Sprint(got.Running[i].Task) < fmt.Sprint(got.Running[j].Task) })
 		return CallOK
-	}, func(e CallError) Event { return ProbeAnswered{Order: c.Order, SentAt: sent, Response: got, Err: e} })
+	}, func(e CallError) Event { return ProbeAnswered{Request: c.Request, SentAt: sent, Response: got, Err: e} })
 }
