--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -34,7 +34,7 @@
 			d.leader.status.Apply(c)
 		case region.Explain:
 			d.explain(c)
-		case region.Deposed:
+		case region.StepDown:
 			d.leader.cancel(&LeadershipLostError{Why: "worker " + c.Worker + " has seen a higher fencing token"})
 		case region.Start:
 			d.runAfter(c.After, func() { d.start(c) })
--- a/region/event.go
+++ b/region/event.go
@@ -168,9 +168,9 @@
 		Timed     bool // runs at set times and does not count as waiting
 	}
 
-	// Deposed reports that a worker has seen a higher fencing token: another host
+	// StepDown reports that a worker has seen a higher fencing token: another host
 	// leads.
-	Deposed struct{ Worker string }
+	StepDown struct{ Worker string }
 
 	// Explain is a log line that records a decision and its inputs.
 	Explain struct {
@@ -192,7 +192,7 @@
 func (Probe) isCommand()    {}
 func (Advise) isCommand()  {}
 func (Publish) isCommand() {}
-func (Deposed) isCommand() {}
+func (StepDown) isCommand() {}
 func (Explain) isCommand() {}
 
 // State is the state of a job as callers see it.
--- a/region/probe.go
+++ b/region/probe.go
@@ -83,7 +83,7 @@
 	switch ev.Err {
 	case CallOK:
 	case CallFenced:
-		s.emit(Deposed{Worker: w.entry.ID})
+		s.emit(StepDown{Worker: w.entry.ID})
 		return
 	case CallOtherIncarnation:
 		s.otherIncarnation(w)
--- a/region/run.go
+++ b/region/run.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if ev.Err == CallFenced && ev.Request.Fence == s.fenceOf(r.worker) {
-		s.emit(Deposed{Worker: r.ref.ID})
+		s.emit(StepDown{Worker: r.ref.ID})
 		return
 	}
 	if r.phase == phaseLateStart && ev.Err == CallOK {
@@ -306,7 +306,7 @@
 	case CallOK, CallOldRun:
 		r.settledAt = s.now
 	case CallFenced:
-		s.emit(Deposed{Worker: r.ref.ID})
+		s.emit(StepDown{Worker: r.ref.ID})
 	case CallOtherIncarnation:
 		s.otherIncarnation(r.worker)
 	default:
