--- a/region/job.go
+++ b/region/job.go
@@ -339,7 +339,7 @@
 // arrive within seconds, long before that.
 func (s *Scheduler) retireJobs() {
 	n := 0
-	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusKept {
+	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusRetention {
 		j := s.finished[n]
 		if j.anyRun(func(*run) bool { return true }) {
 			break
@@ -350,7 +350,7 @@
 	}
 	s.finished = s.finished[n:]
 	for id, at := range s.cancelledEarly {
-		if s.now-at > s.opts.StatusKept {
+		if s.now-at > s.opts.StatusRetention {
 			delete(s.cancelledEarly, id)
 		}
 	}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -109,7 +109,7 @@
 
 func testOptions() Options {
 	return Options{
-		MaxLease: testLease, Lease: testLease, LogRetention: 300 * time.Second, StatusKept: 120 * time.Second,
+		MaxLease: testLease, Lease: testLease, LogRetention: 300 * time.Second, StatusRetention: 120 * time.Second,
 	}
 }
 
