--- a/leader/leader.go
+++ b/leader/leader.go
@@ -303,7 +303,7 @@
 				d.execute(sched.Step(boottime.Now(), region.ConfigRead{Config: c}))
 			}
 			if names := l.cfg.Hosts(); hosts.changed(names) {
-				d.execute(sched.Step(boottime.Now(), region.HostsSeen{Hosts: names}))
+				d.execute(sched.Step(boottime.Now(), region.AdviceHostsChanged{Hosts: names}))
 			}
 			tick := region.Tick{UnixMs: time.Now().UnixMilli(), LoopLag: time.Since(due)}
 			if l.cfg.LinkLoad != nil {
--- a/region/advisers_test.go
+++ b/region/advisers_test.go
@@ -23,7 +23,7 @@
 func (w *world) newAdviceService(hosts ...string) *adviceService {
 	a := &adviceService{w: w, hosts: hosts, idleAt: make(map[string]time.Duration)}
 	w.advice = a
-	w.step(HostsSeen{Hosts: hosts})
+	w.step(AdviceHostsChanged{Hosts: hosts})
 	return a
 }
 
@@ -39,9 +39,9 @@
 	a.failed = append(a.failed, a.w.now+c.Timeout)
 	if a.flaps {
 		a.w.after(c.Timeout+time.Millisecond, func() {
-			a.w.deliver(HostsSeen{Hosts: slices.DeleteFunc(slices.Clone(a.hosts), func(h string) bool { return h == c.Host })})
+			a.w.deliver(AdviceHostsChanged{Hosts: slices.DeleteFunc(slices.Clone(a.hosts), func(h string) bool { return h == c.Host })})
 		})
-		a.w.after(c.Timeout+300*time.Millisecond, func() { a.w.deliver(HostsSeen{Hosts: a.hosts}) })
+		a.w.after(c.Timeout+300*time.Millisecond, func() { a.w.deliver(AdviceHostsChanged{Hosts: a.hosts}) })
 	}
 	return c.Timeout, false
 }
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -17,7 +17,7 @@
 	s.Step(now, Tick{UnixMs: now.Milliseconds()})
 	s.Step(now, Lead{Fence: 1})
 	s.Step(now, ConfigRead{Config: testConfig()})
-	s.Step(now, HostsSeen{Hosts: []string{"", "h2", "h3"}})
+	s.Step(now, AdviceHostsChanged{Hosts: []string{"", "h2", "h3"}})
 	for i := range workers {
 		id := fmt.Sprintf("w%03d", i)
 		s.Step(now, WorkerListed{Entry: model.WorkerEntry{
--- a/region/event.go
+++ b/region/event.go
@@ -74,8 +74,8 @@
 		NotSent bool // the call failed before it reached the service
 	}
 
-	// HostsSeen lists the hosts through which the advice service can be called.
-	HostsSeen struct{ Hosts []string }
+	// AdviceHostsChanged lists the hosts through which the advice service can be called.
+	AdviceHostsChanged struct{ Hosts []string }
 
 	// Tick advances time. UnixMs is the time of day. LoopLag is how late the driver
 	// handled the tick; on a busy processor every event waits as long. LinkLoad is the
@@ -102,7 +102,7 @@
 func (StartAnswered) isEvent()  {}
 func (StopAnswered) isEvent()   {}
 func (Advised) isEvent()        {}
-func (HostsSeen) isEvent()      {}
+func (AdviceHostsChanged) isEvent()      {}
 func (Tick) isEvent()           {}
 func (Schedule) isEvent()       {}
 
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -31,7 +31,7 @@
 	c := testConfig()
 	c.Queues = []model.Queue{queueWithAdvice("short", 10), queueWithAdvice("middle", 240), queueWithAdvice("long", 1300)}
 	w.step(ConfigRead{Config: c})
-	w.step(HostsSeen{Hosts: []string{"", "h1", "h2", "h3", "h4", "h5", "h6", "h7"}})
+	w.step(AdviceHostsChanged{Hosts: []string{"", "h1", "h2", "h3", "h4", "h5", "h6", "h7"}})
 	submit := func(id string, queue int) {
 		j := oneStep(id, &record.Step{Count: 1, Request: &record.Resources{MilliCpu: 1000, MemoryMib: 100}})
 		j.Policy = c.Queues[queue].Policy
--- a/region/region.go
+++ b/region/region.go
@@ -166,7 +166,7 @@
 		s.stopAnswered(ev)
 	case Advised:
 		s.adviceAnswered(ev)
-	case HostsSeen:
+	case AdviceHostsChanged:
 		s.advisers.set(ev.Hosts, s.now)
 	case Tick:
 		s.tick(ev)
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -169,7 +169,7 @@
 	w.step(EntriesRead{Entries: w.entries})
 	w.step(Lead{Fence: w.fence})
 	w.step(ConfigRead{Config: w.config()})
-	w.step(HostsSeen{Hosts: []string{"", "h2", "h3"}})
+	w.step(AdviceHostsChanged{Hosts: []string{"", "h2", "h3"}})
 	for _, id := range w.names {
 		w.deliverListing(w.workers[id])
 	}
