--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -122,7 +122,7 @@
 		d.leader.cfg.Metrics.Counter("advice_failures").Inc(1)
 		d.leader.cfg.Log.WithError(err).WithFields(logrus.Fields{"job": c.Job, "asked_by": c.Host}).Info("advice failed")
 	}
-	d.leader.push(d.ctx, region.Advised{Request: c, Tickets: tickets, At: boottime.Now(), Failed: err != nil, NotSent: platform.IsNotSent(err) || platform.IsRefused(err)})
+	d.leader.push(d.ctx, region.AdviceAnswered{Request: c, Tickets: tickets, At: boottime.Now(), Failed: err != nil, NotSent: platform.IsNotSent(err) || platform.IsRefused(err)})
 }
 
 func (d *dispatcher) explain(c region.Explain) {
--- a/region/advice.go
+++ b/region/advice.go
@@ -257,7 +257,7 @@
 }
 
 // noteAdviceCall updates the backlog of the host through which the call was sent.
-func (s *Scheduler) noteAdviceCall(ev Advised) {
+func (s *Scheduler) noteAdviceCall(ev AdviceAnswered) {
 	switch {
 	case !ev.Failed:
 		s.advisers.answered(ev.Request.Host, ev.Request.stepKey(), s.now)
@@ -268,7 +268,7 @@
 	}
 }
 
-func (s *Scheduler) adviceAnswered(ev Advised) {
+func (s *Scheduler) adviceAnswered(ev AdviceAnswered) {
 	s.noteAdviceCall(ev)
 	t := s.findTask(model.TaskID{Job: ev.Request.Job, Occurrence: ev.Request.Occurrence, Step: ev.Request.Step})
 	if t == nil {
--- a/region/event.go
+++ b/region/event.go
@@ -65,8 +65,8 @@
 		Err    CallError
 	}
 
-	// Advised is the answer to an Advise.
-	Advised struct {
+	// AdviceAnswered is the answer to an Advise.
+	AdviceAnswered struct {
 		Request   Advise
 		Tickets []model.Ticket
 		At      time.Duration // when the answer came
@@ -101,7 +101,7 @@
 func (ProbeAnswered) isEvent()           {}
 func (StartAnswered) isEvent()  {}
 func (StopAnswered) isEvent()   {}
-func (Advised) isEvent()        {}
+func (AdviceAnswered) isEvent()        {}
 func (AdviceHostsChanged) isEvent()      {}
 func (Tick) isEvent()           {}
 func (Schedule) isEvent()       {}
--- a/region/region.go
+++ b/region/region.go
@@ -164,7 +164,7 @@
 		s.startAnswered(ev)
 	case StopAnswered:
 		s.stopAnswered(ev)
-	case Advised:
+	case AdviceAnswered:
 		s.adviceAnswered(ev)
 	case AdviceHostsChanged:
 		s.advisers.set(ev.Hosts, s.now)
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -341,7 +341,7 @@
 		took, answered = w.advice.advise(c)
 	}
 	w.answer(generation, took, func() Event {
-		ev := Advised{Request: c, At: w.now, Failed: !answered}
+		ev := AdviceAnswered{Request: c, At: w.now, Failed: !answered}
 		if ev.Failed {
 			return ev
 		}
