--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -133,7 +133,7 @@
 	for _, f := range c.Fields {
 		fields[f.Name] = f.Value
 	}
-	d.leader.cfg.Log.WithFields(fields).Info(c.What)
+	d.leader.cfg.Log.WithFields(fields).Info(c.Message)
 }
 
 // callError classifies the outcome of a call to a worker.
--- a/region/event.go
+++ b/region/event.go
@@ -175,7 +175,7 @@
 	// Explain is a log line that records a decision and its inputs.
 	Explain struct {
 		Job    string
-		What   string
+		Message   string
 		Fields []Field
 	}
 )
--- a/region/region.go
+++ b/region/region.go
@@ -178,7 +178,7 @@
 func (s *Scheduler) emit(c Command) { s.out = append(s.out, c) }
 
 func (s *Scheduler) explain(job, what string, fields ...Field) {
-	s.emit(Explain{Job: job, What: what, Fields: fields})
+	s.emit(Explain{Job: job, Message: what, Fields: fields})
 }
 
 // leading reports whether this scheduler may send orders to workers.
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -258,7 +258,7 @@
 	case Advise:
 		w.advise(generation, c)
 	case Explain:
-		w.explanations = append(w.explanations, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.What, " ", c.Fields))
+		w.explanations = append(w.explanations, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.Message, " ", c.Fields))
 	}
 }
 
