--- a/leader/dispatch.go
+++ b/leader/dispatch.go
@@ -111,9 +111,9 @@
 
 func (d *dispatcher) probe(c region.Probe) {
 	sent := boottime.Now()
-	hold, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Request)
+	response, err := d.leader.cfg.Client.Probe(d.ctx, d.leader.callTimeout.timeout(minProbeTimeout, maxCallTimeout), c.Request)
 	d.observeCall(sent, c.Request.Wait, err)
-	d.leader.push(d.ctx, region.ProbeAnswered{Request: c.Request, SentAt: sent, Response: hold, Err: callError(platform.Receipt{Err: err}, nil)})
+	d.leader.push(d.ctx, region.ProbeAnswered{Request: c.Request, SentAt: sent, Response: response, Err: callError(platform.Receipt{Err: err}, nil)})
 }
 
 func (d *dispatcher) advise(c region.Advise) {
--- a/region/late_start.go
+++ b/region/late_start.go
@@ -83,7 +83,7 @@
 	}
 	r.phase = phaseLateStart
 	r.settledAt = 0
-	delete(r.worker.pendingOrders, r.id())
+	delete(r.worker.pendingCalls, r.id())
 	s.lateStartRuns = append(s.lateStartRuns, r)
 	s.explain(r.task.step.job.rec.Id, "run in doubt", Field{"why", why}, Field{"worker", r.ref.ID},
 		Field{"step", r.task.step.index}, Field{"task", r.task.index}, Field{"run", r.number},
--- a/region/overdue.go
+++ b/region/overdue.go
@@ -17,23 +17,23 @@
 	answerSamples = 32
 )
 
-// pendingOrders holds, for each run on a worker, the time of its oldest start or stop call
+// pendingCalls holds, for each run on a worker, the time of its oldest start or stop call
 // without an answer.
 //
 // The guard is against placing work on a worker that is lost or unreachable. Probes detect
 // that after a second; until then the worker appears healthy and increasingly idle. Each
 // start sent there is stuck until its lease is over, and extends the lease of all runs
 // there. The first call that is not answered in time shows it sooner.
-type pendingOrders map[model.RunID]time.Duration
+type pendingCalls map[model.RunID]time.Duration
 
-func (o pendingOrders) sent(id model.RunID, at time.Duration) {
-	if _, out := o[id]; !out {
+func (o pendingCalls) sent(id model.RunID, at time.Duration) {
+	if _, pending := o[id]; !pending {
 		o[id] = at
 	}
 }
 
 // overdue reports whether a call that was sent before a time has no answer.
-func (o pendingOrders) overdue(before time.Duration) bool {
+func (o pendingCalls) overdue(before time.Duration) bool {
 	for _, at := range o {
 		if at < before {
 			return true
@@ -42,16 +42,16 @@
 	return false
 }
 
-// orderAnswered removes a call that was answered from the pending ones. A call that timed
+// callAnswered removes a call that was answered from the pending ones. A call that timed
 // out or was not sent stays, as only a worker that answers gets new work.
-func (s *Scheduler) orderAnswered(ref model.WorkerRef, id model.RunID, err CallError) {
+func (s *Scheduler) callAnswered(ref model.WorkerRef, id model.RunID, err CallError) {
 	w, known := s.workers[ref.ID]
 	if !known || err == CallNoAnswer || err == CallNotSent {
 		return
 	}
-	if at, out := w.pendingOrders[id]; out {
+	if at, pending := w.pendingCalls[id]; pending {
 		s.usualAnswer += (s.now - at - s.usualAnswer) / answerSamples
-		delete(w.pendingOrders, id)
+		delete(w.pendingCalls, id)
 	}
 }
 
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -16,8 +16,8 @@
 		for range 20 * delaySamples {
 			s.Step(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
 		}
-		order := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
-		for _, c := range s.Step(now, ProbeAnswered{Request: order, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
+		request := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
+		for _, c := range s.Step(now, ProbeAnswered{Request: request, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
 			if h, ok := c.(Probe); ok {
 				return h.After
 			}
--- a/region/pass.go
+++ b/region/pass.go
@@ -36,7 +36,7 @@
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
 	for _, w := range s.workerList {
-		w.overdue = w.pendingOrders.overdue(before)
+		w.overdue = w.pendingCalls.overdue(before)
 		w.claimed = model.Resources{}
 		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
 		if s.usable(w) {
--- a/region/probe.go
+++ b/region/probe.go
@@ -50,24 +50,24 @@
 	if w.probing || !s.leading() || w.entry.Address == "" {
 		return
 	}
-	order := model.ProbeRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
+	request := model.ProbeRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
 	// After an unanswered probe, leases are not extended until the worker answers. Each
 	// renewal may be executed late, so that the runs of a worker that does not come back
 	// could never be declared lost. Such a probe renews and acknowledges nothing and only
 	// checks the connection.
 	if w.fenced && !w.probeMissed {
-		order.AckedUpTo = w.acked
-		order.Wait = probeWait
+		request.AckedUpTo = w.acked
+		request.Wait = probeWait
 		if len(w.runs) > 0 {
-			order.Wait = min(probeWait, s.leaseFor(w)/probesPerLease)
+			request.Wait = min(probeWait, s.leaseFor(w)/probesPerLease)
 		}
 		if s.now < w.lossyUntil {
-			order.Wait = lossyWait
+			request.Wait = lossyWait
 		}
-		order.UntilMs = s.grantLease(w)
+		request.UntilMs = s.grantLease(w)
 	}
 	w.probing = true
-	s.emit(Probe{Request: order, After: after})
+	s.emit(Probe{Request: request, After: after})
 }
 
 func (s *Scheduler) probeAnswered(ev ProbeAnswered) {
--- a/region/run.go
+++ b/region/run.go
@@ -116,7 +116,7 @@
 	t.run = nil
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
 	r.worker.counts.add(r.pressing, -1)
-	delete(r.worker.pendingOrders, r.id())
+	delete(r.worker.pendingCalls, r.id())
 	r.worker.used = r.worker.used.Sub(r.room)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Sub(t.step.request)
@@ -166,7 +166,7 @@
 	r.phase = phaseSending
 	r.startAttempts++
 	r.calls.sent(s.now + after)
-	r.worker.pendingOrders.sent(r.id(), s.now+after)
+	r.worker.pendingCalls.sent(r.id(), s.now+after)
 	s.emit(Start{After: after, Request: model.StartRequest{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
@@ -185,7 +185,7 @@
 }
 
 func (s *Scheduler) startAnswered(ev StartAnswered) {
-	s.orderAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	s.callAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
 	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil {
 		return
@@ -290,14 +290,14 @@
 }
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
-	r.worker.pendingOrders.sent(r.id(), s.now+after)
+	r.worker.pendingCalls.sent(r.id(), s.now+after)
 	s.emit(Stop{After: after, Request: model.StopRequest{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
 }
 
 func (s *Scheduler) stopAnswered(ev StopAnswered) {
-	s.orderAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	s.callAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
 	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil || r.phase != phaseStopping {
 		return
--- a/region/worker.go
+++ b/region/worker.go
@@ -37,7 +37,7 @@
 	lastEnd        int64           // highest number of an end that was applied
 	acked          int64           // highest number of an end whose record is in the log
 	pausedUntil    time.Duration   // no new work before this time
-	pendingOrders  pendingOrders   // start and stop calls without an answer
+	pendingCalls  pendingCalls   // start and stop calls without an answer
 	overdue        bool            // one of them is overdue, as of the newest pass
 	health         health
 	speed          speed
@@ -72,7 +72,7 @@
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
-		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), pendingOrders: make(pendingOrders), incarnations: s.departed.incarnations(id)}
+		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), pendingCalls: make(pendingCalls), incarnations: s.departed.incarnations(id)}
 		s.workers[id] = w
 		s.workerList = append(s.workerList, w)
 		if s.leading() {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -254,7 +254,7 @@
 		w.call(generation, "stop", c.After, c.Request.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Request) },
 			func(e CallError) Event { return StopAnswered{Request: c.Request, Err: e} })
 	case Probe:
-		w.hold(generation, c)
+		w.probe(generation, c)
 	case Advise:
 		w.advise(generation, c)
 	case Explain:
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -229,7 +229,7 @@
 	}
 }
 
-func (w *world) hold(generation int, c Probe) {
+func (w *world) probe(generation int, c Probe) {
 	sent := w.now + c.After
 	var got model.ProbeResponse
 	w.call(generation, "hold", c.After, c.Request.Worker, func(fw *fakeWorker) CallError {
