--- a/region/advice.go
+++ b/region/advice.go
@@ -206,7 +206,7 @@
 			continue
 		}
 		room := w.free().Sub(w.claimed)
-		if w.reserved == st || w.kept == st || len(w.runs) > 0 && st.rec.Gang {
+		if w.reserved == st || w.softReserved == st || len(w.runs) > 0 && st.rec.Gang {
 			room = room.Add(s.freedWithin(w, answerTime))
 		}
 		if n := min(timesIn(st.room(), room), want-found); n > 0 {
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -187,7 +187,7 @@
 func (s *Scheduler) reserve(st *step, firm bool) {
 	var places []gangPlace
 	for _, w := range s.usableNow {
-		if w.reserved != nil || w.kept != nil || !s.suits(st, w) || s.keptApart(st, w) {
+		if w.reserved != nil || w.softReserved != nil || !s.suits(st, w) || s.keptApart(st, w) {
 			continue
 		}
 		if n := timesIn(st.room(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
@@ -206,7 +206,7 @@
 		if firm {
 			places[best].worker.reserved = st
 		} else {
-			places[best].worker.kept = st
+			places[best].worker.softReserved = st
 		}
 		s.freeBounds.valid = false
 		places = append(places[:best], places[best+1:]...)
--- a/region/pass.go
+++ b/region/pass.go
@@ -38,7 +38,7 @@
 	for _, w := range s.workerList {
 		w.overdue = w.pendingCalls.overdue(before)
 		w.claimed = model.Resources{}
-		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
+		w.wasReserved, w.reserved, w.softReserved = cmp.Or(w.reserved, w.softReserved), nil, nil
 		if s.usable(w) {
 			s.usableNow = append(s.usableNow, w)
 		}
@@ -100,7 +100,7 @@
 		if w.reserved == nil {
 			of.notFirmlyReserved = elementwiseMax(of.notFirmlyReserved, free)
 		}
-		if w.reserved == nil && w.kept == nil {
+		if w.reserved == nil && w.softReserved == nil {
 			of.unreserved = elementwiseMax(of.unreserved, free)
 		}
 	}
--- a/region/place.go
+++ b/region/place.go
@@ -150,7 +150,7 @@
 	if w.reserved != nil && w.reserved != st && !s.ignoresReservations(st) {
 		return false
 	}
-	return w.kept == nil || w.kept == st || s.classOf(st) <= classOverShare
+	return w.softReserved == nil || w.softReserved == st || s.classOf(st) <= classOverShare
 }
 
 // usable reports whether the worker may get new work at all.
--- a/region/worker.go
+++ b/region/worker.go
@@ -42,7 +42,7 @@
 	health         health
 	speed          speed
 	reserved       *step           // gang for which room is reserved here
-	kept           *step           // further gang for which room is reserved here against late work only
+	softReserved           *step           // further gang for which room is reserved here against late work only
 	wasReserved    *step           // reserved or kept in the previous pass
 	claimed        model.Resources // room for which steps request tickets in this pass
 }
