--- a/region/end.go
+++ b/region/end.go
@@ -96,7 +96,7 @@
 	case outcome == record.Outcome_OUTCOME_FAILED && first:
 		s.countFailure(t)
 	}
-	if t.waiting() && !t.step.job.over() && t.step.ready {
+	if t.waiting() && !t.step.job.ended() && t.step.ready {
 		s.enqueue(t.step)
 	}
 	s.dirty = true
--- a/region/job.go
+++ b/region/job.go
@@ -77,7 +77,7 @@
 // waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
-func (j *job) over() bool     { return j.cancelled || j.failed || j.complete() }
+func (j *job) ended() bool     { return j.cancelled || j.failed || j.complete() }
 func (j *job) periodic() bool { return j.rec.RepeatCount > 0 }
 
 // complete reports whether every task of every occurrence is done.
@@ -151,7 +151,7 @@
 // enqueueReadySteps queues the steps whose dependencies are done.
 func (s *Scheduler) enqueueReadySteps(occ *occurrence) {
 	for _, st := range occ.steps {
-		if st.open == 0 || st.job.over() {
+		if st.open == 0 || st.job.ended() {
 			continue
 		}
 		st.ready = true
@@ -207,10 +207,10 @@
 func (s *Scheduler) addDueOccurrences() {
 	left := s.periodic[:0]
 	for _, j := range s.periodic {
-		for !j.over() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
+		for !j.ended() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
 			s.addOccurrence(j)
 		}
-		if !j.over() && j.nextOcc < j.rec.RepeatCount {
+		if !j.ended() && j.nextOcc < j.rec.RepeatCount {
 			left = append(left, j)
 		}
 	}
@@ -228,7 +228,7 @@
 		s.cancelledEarly[id] = s.now
 		return
 	}
-	if j.over() {
+	if j.ended() {
 		return
 	}
 	j.cancelled = true
@@ -238,7 +238,7 @@
 
 // fail ends a job because task t has used up its attempts.
 func (s *Scheduler) fail(j *job, t *task) {
-	if j.over() {
+	if j.ended() {
 		return
 	}
 	j.failed = true
--- a/region/pass.go
+++ b/region/pass.go
@@ -164,7 +164,7 @@
 	var out [numClasses][]*step
 	keep := s.ready.steps[:0]
 	for _, st := range s.ready.steps {
-		if st.job.over() || !st.anyWaiting() {
+		if st.job.ended() || !st.anyWaiting() {
 			st.queued = false
 			continue
 		}
--- a/region/probe.go
+++ b/region/probe.go
@@ -186,7 +186,7 @@
 	if r.phase == phaseInherited || r.phase == phaseSending {
 		s.confirm(r)
 	}
-	if t.done || t.step.job.over() {
+	if t.done || t.step.job.ended() {
 		s.stopRun(r, "job is over")
 	}
 }
--- a/region/replay.go
+++ b/region/replay.go
@@ -106,7 +106,7 @@
 		}
 		s.written[0] = nil
 		s.written = s.written[1:]
-		if j.over() {
+		if j.ended() {
 			continue
 		}
 		j.writtenAt = s.now
