--- a/region/advice.go
+++ b/region/advice.go
@@ -132,7 +132,7 @@
 	if st.advice.inFlight || s.now < st.advice.retryAt {
 		return false
 	}
-	if s.linkLoad > fullLink && !st.pressing {
+	if s.linkLoad > fullLink && !st.latencySensitive {
 		st.heldBy = "link" // calls for advice name many workers and are the largest calls
 		s.dirty = true
 		return false
--- a/region/event.go
+++ b/region/event.go
@@ -46,28 +46,28 @@
 	// ProbeAnswered is the answer to a Hold that was sent at SentAt.
 	ProbeAnswered struct {
 		Request  model.ProbeRequest
-		SentAt time.Duration
-		Response   model.ProbeResponse
-		Err    CallError
+		SentAt   time.Duration
+		Response model.ProbeResponse
+		Err      CallError
 	}
 
 	// StartAnswered is the answer to a Start that was sent at SentAt.
 	StartAnswered struct {
-		Request  model.StartRequest
-		SentAt time.Duration
-		Err    CallError
+		Request model.StartRequest
+		SentAt  time.Duration
+		Err     CallError
 	}
 
 	// StopAnswered is the answer to a Stop that was sent at SentAt.
 	StopAnswered struct {
-		Request  model.StopRequest
-		SentAt time.Duration
-		Err    CallError
+		Request model.StopRequest
+		SentAt  time.Duration
+		Err     CallError
 	}
 
 	// AdviceAnswered is the answer to an Advise.
 	AdviceAnswered struct {
-		Request   Advise
+		Request Advise
 		Tickets []model.Ticket
 		At      time.Duration // when the answer came
 		Failed  bool
@@ -91,20 +91,20 @@
 	Schedule struct{}
 )
 
-func (IntakeRead) isEvent()     {}
-func (EntriesRead) isEvent()    {}
-func (Lead) isEvent()           {}
-func (ConfigRead) isEvent()     {}
-func (WorkerListed) isEvent()   {}
-func (WorkerUnlisted) isEvent() {}
-func (Committed) isEvent()      {}
-func (ProbeAnswered) isEvent()           {}
-func (StartAnswered) isEvent()  {}
-func (StopAnswered) isEvent()   {}
-func (AdviceAnswered) isEvent()        {}
-func (AdviceHostsChanged) isEvent()      {}
-func (Tick) isEvent()           {}
-func (Schedule) isEvent()       {}
+func (IntakeRead) isEvent()         {}
+func (EntriesRead) isEvent()        {}
+func (Lead) isEvent()               {}
+func (ConfigRead) isEvent()         {}
+func (WorkerListed) isEvent()       {}
+func (WorkerUnlisted) isEvent()     {}
+func (Committed) isEvent()          {}
+func (ProbeAnswered) isEvent()      {}
+func (StartAnswered) isEvent()      {}
+func (StopAnswered) isEvent()       {}
+func (AdviceAnswered) isEvent()     {}
+func (AdviceHostsChanged) isEvent() {}
+func (Tick) isEvent()               {}
+func (Schedule) isEvent()           {}
 
 // CallError is the outcome of a call to a worker.
 type CallError int
@@ -134,18 +134,18 @@
 	// Start asks a worker to start a run.
 	Start struct {
 		Request model.StartRequest
-		After time.Duration
+		After   time.Duration
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
 		Request model.StopRequest
-		After time.Duration
+		After   time.Duration
 	}
 	// Probe is a probe of a worker: it renews its leases and reads which runs are
 	// alive or have ended.
 	Probe struct {
 		Request model.ProbeRequest
-		After time.Duration
+		After   time.Duration
 	}
 
 	// Advise asks the advice service, through Host, on which workers a step may run.
@@ -174,9 +174,9 @@
 
 	// Explain is a log line that records a decision and its inputs.
 	Explain struct {
-		Job    string
-		Message   string
-		Fields []Field
+		Job     string
+		Message string
+		Fields  []Field
 	}
 )
 
@@ -186,14 +186,14 @@
 	Value any
 }
 
-func (Append) isCommand()  {}
-func (Start) isCommand()   {}
-func (Stop) isCommand()    {}
+func (Append) isCommand()   {}
+func (Start) isCommand()    {}
+func (Stop) isCommand()     {}
 func (Probe) isCommand()    {}
-func (Advise) isCommand()  {}
-func (Publish) isCommand() {}
+func (Advise) isCommand()   {}
+func (Publish) isCommand()  {}
 func (StepDown) isCommand() {}
-func (Explain) isCommand() {}
+func (Explain) isCommand()  {}
 
 // State is the state of a job as callers see it.
 type State int
--- a/region/job.go
+++ b/region/job.go
@@ -34,22 +34,22 @@
 
 // step is a set of identical tasks of one occurrence.
 type step struct {
-	job             *job
-	occ             *occurrence
-	index           int32
-	rec             *record.Step
-	request         model.Resources
-	tasks           []*task
-	open            int           // tasks not done
-	ready           bool          // all steps that it depends on are done
-	readyAt         time.Duration // when that became true
-	latestStart     time.Duration // latest start that still meets the objective
-	latestForCredit time.Duration // latest start that still earns partial credit
-	queued          bool          // on the ready list
-	advice          adviceState
-	heldBy          string // why it could not start in the last pass that tried it; reported as held_by
-	notUntil        time.Duration
-	pressing        bool // as of the newest pass
+	job              *job
+	occ              *occurrence
+	index            int32
+	rec              *record.Step
+	request          model.Resources
+	tasks            []*task
+	open             int           // tasks not done
+	ready            bool          // all steps that it depends on are done
+	readyAt          time.Duration // when that became true
+	latestStart      time.Duration // latest start that still meets the objective
+	latestForCredit  time.Duration // latest start that still earns partial credit
+	queued           bool          // on the ready list
+	advice           adviceState
+	heldBy           string // why it could not start in the last pass that tried it; reported as held_by
+	notUntil         time.Duration
+	latencySensitive bool // as of the newest pass
 
 	waitingSince time.Duration // since when it has a waiting task
 	preemptedAt  time.Duration // when runs were last preempted for it
@@ -77,7 +77,7 @@
 // waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
-func (j *job) ended() bool     { return j.cancelled || j.failed || j.complete() }
+func (j *job) ended() bool    { return j.cancelled || j.failed || j.complete() }
 func (j *job) periodic() bool { return j.rec.RepeatCount > 0 }
 
 // complete reports whether every task of every occurrence is done.
--- a/region/lease.go
+++ b/region/lease.go
@@ -18,7 +18,7 @@
 	separationShare = 0.5
 )
 
-// pressing reports whether the step's result is worthless if it is delayed by the longest
+// latencySensitive reports whether the step's result is worthless if it is delayed by the longest
 // lease and run again. Other steps are deferrable.
 //
 // A task on a worker behind a network partition can start elsewhere only when the
@@ -32,7 +32,7 @@
 //
 // Declared run times are up to 90% off, and a fifth of the urgent tasks would count as
 // deferrable by them. The usual run time of the queue counts if it is shorter.
-func (s *Scheduler) pressing(st *step) bool {
+func (s *Scheduler) latencySensitive(st *step) bool {
 	if st.rec.LongRunning {
 		return false
 	}
@@ -46,11 +46,11 @@
 }
 
 // runCounts counts the runs on a worker by kind.
-type runCounts struct{ pressing, deferrable int }
+type runCounts struct{ latencySensitive, deferrable int }
 
-func (n *runCounts) add(pressing bool, by int) {
-	if pressing {
-		n.pressing += by
+func (n *runCounts) add(latencySensitive bool, by int) {
+	if latencySensitive {
+		n.latencySensitive += by
 		return
 	}
 	n.deferrable += by
@@ -93,11 +93,11 @@
 // add to its score for a step.
 func (s *Scheduler) apartScore(st *step, w *worker) float64 {
 	switch {
-	case !st.pressing && w.counts.pressing > 0:
+	case !st.latencySensitive && w.counts.latencySensitive > 0:
 		return -mixPenalty
-	case !st.pressing || w.counts.deferrable == 0 && !s.longLeased(w):
+	case !st.latencySensitive || w.counts.deferrable == 0 && !s.longLeased(w):
 		return 0
-	case w.counts.pressing > 0:
+	case w.counts.latencySensitive > 0:
 		return alreadyMixedBonus - mixPenalty
 	}
 	return -mixPenalty
@@ -114,7 +114,7 @@
 // work there. A lower score is not enough: most work is deferrable and would fill all
 // remaining room, and soon all workers would have long leases.
 func (s *Scheduler) keptApart(st *step, w *worker) bool {
-	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
+	if w.counts.latencySensitive == 0 || st.rec.LongRunning || st.latencySensitive {
 		return false
 	}
 	separationTime := time.Duration(separationShare * float64(st.latestStart-st.readyAt))
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -119,8 +119,8 @@
 		w.submitTo(slowJob(fmt.Sprintf("s%d", i), 1), "slow")
 		w.run(50 * time.Millisecond)
 		for name, fw := range w.sched.workers {
-			if n := fw.counts; n.pressing > 0 && n.deferrable > 0 {
-				t.Fatalf("worker %s has %d urgent and %d slow runs while others have room", name, n.pressing, n.deferrable)
+			if n := fw.counts; n.latencySensitive > 0 && n.deferrable > 0 {
+				t.Fatalf("worker %s has %d urgent and %d slow runs while others have room", name, n.latencySensitive, n.deferrable)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 	w.submitTo(j, "urgent")
 	w.run(50 * time.Millisecond)
 	r := w.sched.jobs["u-long"].occs[0].steps[0].tasks[0].run
-	if r == nil || !r.pressing {
+	if r == nil || !r.latencySensitive {
 		t.Error("the task is not pressing because of its declared run time")
 	}
 }
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -64,7 +64,7 @@
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := newBacklogScheduler(1, 0, 0)
 		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
-		return s.probePause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
+		return s.probePause(), s.leaseFor(&worker{counts: runCounts{latencySensitive: 1}})
 	}
 	if pause, lease := at(busyLink); pause != probeGap || lease != shortLease {
 		t.Errorf("pause %v, lease %v with the link half used", pause, lease)
--- a/region/pass.go
+++ b/region/pass.go
@@ -168,7 +168,7 @@
 			st.queued = false
 			continue
 		}
-		st.pressing = s.pressing(st)
+		st.latencySensitive = s.latencySensitive(st)
 		keep = append(keep, st)
 		c := s.classOf(st)
 		out[c] = append(out[c], st)
--- a/region/place.go
+++ b/region/place.go
@@ -225,7 +225,7 @@
 // speedScore prefers fast workers for pressing work, which then still ends in time, and
 // slow workers for all other work, which leaves the fast ones free.
 func (st *step) speedScore(w *worker) float64 {
-	if st.pressing {
+	if st.latencySensitive {
 		return speedWeight * w.speed.logRatio
 	}
 	return -speedWeight * w.speed.logRatio
--- a/region/region.go
+++ b/region/region.go
@@ -29,11 +29,11 @@
 
 // Options are the bounds set by the platform and the settings of this scheduler.
 type Options struct {
-	MaxLease     time.Duration // workers shorten a longer lease to this
-	Lease        time.Duration // the longest lease that the scheduler grants
-	LogRetention time.Duration // age at which records of the log expire
-	StatusRetention   time.Duration // how long the state of a finished job can be queried
-	StartsPerS   float64       // starts per second that the driver's link carries beside its other traffic; 0 for no limit
+	MaxLease        time.Duration // workers shorten a longer lease to this
+	Lease           time.Duration // the longest lease that the scheduler grants
+	LogRetention    time.Duration // age at which records of the log expire
+	StatusRetention time.Duration // how long the state of a finished job can be queried
+	StartsPerS      float64       // starts per second that the driver's link carries beside its other traffic; 0 for no limit
 }
 
 const (
--- a/region/run.go
+++ b/region/run.go
@@ -33,24 +33,24 @@
 
 // run is one run of a task that may be alive.
 type run struct {
-	task            *task
-	number          int32
-	worker          *worker
-	ref             model.WorkerRef // the worker, and its incarnation, that it was assigned to
-	phase           phase
-	room            model.Resources
-	pressing        bool // counted as pressing in its worker's runCounts
-	ticket          string
-	assigned        time.Duration
-	startedAt       time.Duration // when the worker was known to have it
-	endsAt          time.Duration // when it is expected to end
-	leaseUntil      int64         // end of the lease that its start grants, on the worker's clock
-	startUnanswered bool          // a start got no answer and may still be executed
-	settledAt       time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
-	startAttempts   int
-	calls           startCalls
-	percent         int
-	movedAt         time.Duration // when percent last changed
+	task             *task
+	number           int32
+	worker           *worker
+	ref              model.WorkerRef // the worker, and its incarnation, that it was assigned to
+	phase            phase
+	room             model.Resources
+	latencySensitive bool // counted as pressing in its worker's runCounts
+	ticket           string
+	assigned         time.Duration
+	startedAt        time.Duration // when the worker was known to have it
+	endsAt           time.Duration // when it is expected to end
+	leaseUntil       int64         // end of the lease that its start grants, on the worker's clock
+	startUnanswered  bool          // a start got no answer and may still be executed
+	settledAt        time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
+	startAttempts    int
+	calls            startCalls
+	percent          int
+	movedAt          time.Duration // when percent last changed
 }
 
 // target returns the worker to which calls about the run are sent. The address is that of
@@ -99,8 +99,8 @@
 	r.room = t.step.room()
 	t.run = r
 	r.worker.runs = append(r.worker.runs, r)
-	r.pressing = s.pressing(t.step)
-	r.worker.counts.add(r.pressing, 1)
+	r.latencySensitive = s.latencySensitive(t.step)
+	r.worker.counts.add(r.latencySensitive, 1)
 	r.endsAt = r.expectedEnd()
 	r.worker.used = r.worker.used.Add(r.room)
 	ws := t.step.job.rec.Workspace
@@ -115,7 +115,7 @@
 	}
 	t.run = nil
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
-	r.worker.counts.add(r.pressing, -1)
+	r.worker.counts.add(r.latencySensitive, -1)
 	delete(r.worker.pendingCalls, r.id())
 	r.worker.used = r.worker.used.Sub(r.room)
 	ws := t.step.job.rec.Workspace
--- a/region/worker.go
+++ b/region/worker.go
@@ -37,12 +37,12 @@
 	lastEnd        int64           // highest number of an end that was applied
 	acked          int64           // highest number of an end whose record is in the log
 	pausedUntil    time.Duration   // no new work before this time
-	pendingCalls  pendingCalls   // start and stop calls without an answer
+	pendingCalls   pendingCalls    // start and stop calls without an answer
 	overdue        bool            // one of them is overdue, as of the newest pass
 	health         health
 	speed          speed
 	reserved       *step           // gang for which room is reserved here
-	softReserved           *step           // further gang for which room is reserved here against late work only
+	softReserved   *step           // further gang for which room is reserved here against late work only
 	wasReserved    *step           // reserved or kept in the previous pass
 	claimed        model.Resources // room for which steps request tickets in this pass
 }
