--- a/region/advice.go
+++ b/region/advice.go
@@ -209,8 +209,8 @@
 		if w.reserved == st || w.softReserved == st || len(w.runs) > 0 && st.rec.Gang {
 			room = room.Add(s.freedWithin(w, answerTime))
 		}
-		if n := min(timesIn(st.room(), room), want-found); n > 0 {
-			w.claimed = w.claimed.Add(st.room().Times(int64(n)))
+		if n := min(timesIn(st.demand(), room), want-found); n > 0 {
+			w.claimed = w.claimed.Add(st.demand().Times(int64(n)))
 			found += n
 		}
 	}
@@ -242,7 +242,7 @@
 		default:
 			continue
 		}
-		if st.room().Fits(w.free()) {
+		if st.demand().Fits(w.free()) {
 			roomy = append(roomy, w.entry.ID)
 		} else {
 			full = append(full, w.entry.ID)
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -87,7 +87,7 @@
 		if why != fits {
 			continue
 		}
-		n := timesIn(st.room(), w.free())
+		n := timesIn(st.demand(), w.free())
 		if limit := int(st.rec.AntiAffinity); limit > 0 {
 			n = min(n, limit)
 		}
@@ -190,7 +190,7 @@
 		if w.reserved != nil || w.softReserved != nil || !s.suits(st, w) || s.keptApart(st, w) {
 			continue
 		}
-		if n := timesIn(st.room(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
+		if n := timesIn(st.demand(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
 			places = append(places, gangPlace{worker: w, n: n})
 		}
 	}
@@ -225,7 +225,7 @@
 func (s *Scheduler) suits(st *step, w *worker) bool {
 	return w.entry.Service == st.job.rec.Policy.GetService() &&
 		(st.rec.Requires == "" || w.entry.HasLabel(st.rec.Requires)) &&
-		!st.ruledOut(w) && st.room().Fits(w.entry.Capacity)
+		!st.ruledOut(w) && st.demand().Fits(w.entry.Capacity)
 }
 
 // freedWithin returns the room of the runs on a worker that are expected to end within
@@ -234,7 +234,7 @@
 	var sum model.Resources
 	for _, r := range w.runs {
 		if r.endsAt < s.now+within {
-			sum = sum.Add(r.room)
+			sum = sum.Add(r.demand)
 		}
 	}
 	return sum
--- a/region/pass.go
+++ b/region/pass.go
@@ -77,11 +77,11 @@
 	}
 	switch {
 	case st.rec.Gang || s.ignoresReservations(st):
-		return !st.room().Fits(of.any)
+		return !st.demand().Fits(of.any)
 	case s.classOf(st) <= classOverShare:
-		return !st.room().Fits(of.notFirmlyReserved)
+		return !st.demand().Fits(of.notFirmlyReserved)
 	}
-	return !st.room().Fits(of.unreserved)
+	return !st.demand().Fits(of.unreserved)
 }
 
 func (s *Scheduler) computeFreeBounds() {
--- a/region/preempt.go
+++ b/region/preempt.go
@@ -55,14 +55,14 @@
 	free := w.free()
 	for _, r := range candidates {
 		interferes := st.rec.TargetMs > 0 && r.task.step.rec.Fills
-		if !interferes && st.room().Fits(free) {
+		if !interferes && st.demand().Fits(free) {
 			continue
 		}
 		victims = append(victims, r)
 		loss += s.preemptionLoss(r)
-		free = free.Add(r.room)
+		free = free.Add(r.demand)
 	}
-	return victims, loss, st.room().Fits(free) && (st.rec.AntiAffinity == 0 || st.runCountOn(w) < int(st.rec.AntiAffinity))
+	return victims, loss, st.demand().Fits(free) && (st.rec.AntiAffinity == 0 || st.runCountOn(w) < int(st.rec.AntiAffinity))
 }
 
 // preemptible returns the runs on a worker that may be preempted, the least loss first.
--- a/region/run.go
+++ b/region/run.go
@@ -38,7 +38,7 @@
 	worker           *worker
 	ref              model.WorkerRef // the worker, and its incarnation, that it was assigned to
 	phase            phase
-	room             model.Resources
+	demand           model.Resources
 	latencySensitive bool // counted as pressing in its worker's runCounts
 	ticket           string
 	assigned         time.Duration
@@ -83,9 +83,9 @@
 	return out
 }
 
-// room returns the resources that a task of the step reserves on a worker. A step with
+// demand returns the resources that a task of the step reserves on a worker. A step with
 // Fills reserves no CPU and uses what others leave idle.
-func (st *step) room() model.Resources {
+func (st *step) demand() model.Resources {
 	r := st.request
 	if st.rec.Fills {
 		r.MilliCPU = 0
@@ -96,13 +96,13 @@
 // occupy counts a run and its resources on its worker and in its workspace.
 func (s *Scheduler) occupy(r *run) {
 	t := r.task
-	r.room = t.step.room()
+	r.demand = t.step.demand()
 	t.run = r
 	r.worker.runs = append(r.worker.runs, r)
 	r.latencySensitive = s.latencySensitive(t.step)
 	r.worker.counts.add(r.latencySensitive, 1)
 	r.endsAt = r.expectedEnd()
-	r.worker.used = r.worker.used.Add(r.room)
+	r.worker.used = r.worker.used.Add(r.demand)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Add(t.step.request)
 }
@@ -117,7 +117,7 @@
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
 	r.worker.counts.add(r.latencySensitive, -1)
 	delete(r.worker.pendingCalls, r.id())
-	r.worker.used = r.worker.used.Sub(r.room)
+	r.worker.used = r.worker.used.Sub(r.demand)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Sub(t.step.request)
 	s.dirty = true
