--- a/leader/leader.go
+++ b/leader/leader.go
@@ -282,7 +282,7 @@
 // loop runs the scheduler, in the only goroutine that uses it after loading.
 func (l *Leader) loop(ctx context.Context, sched *region.Scheduler) {
 	d := &dispatcher{leader: l, ctx: ctx}
-	d.execute(sched.Step(boottime.Now(), region.Lead{Fence: l.cfg.Fence}))
+	d.execute(sched.Handle(boottime.Now(), region.Lead{Fence: l.cfg.Fence}))
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var (
@@ -295,23 +295,23 @@
 			d.wait()
 			return
 		case ev := <-l.events.Items():
-			d.execute(sched.Step(boottime.Now(), ev))
+			d.execute(sched.Handle(boottime.Now(), ev))
 			l.applyQueuedEvents(d, sched)
 		case due := <-ticker.C:
 			if c := l.cfg.Config(); c != config {
 				config = c
-				d.execute(sched.Step(boottime.Now(), region.ConfigRead{Config: c}))
+				d.execute(sched.Handle(boottime.Now(), region.ConfigRead{Config: c}))
 			}
 			if names := l.cfg.Hosts(); hosts.changed(names) {
-				d.execute(sched.Step(boottime.Now(), region.AdviceHostsChanged{Hosts: names}))
+				d.execute(sched.Handle(boottime.Now(), region.AdviceHostsChanged{Hosts: names}))
 			}
 			tick := region.Tick{UnixMs: time.Now().UnixMilli(), LoopLag: time.Since(due)}
 			if l.cfg.LinkLoad != nil {
 				tick.LinkLoad = l.cfg.LinkLoad()
 			}
-			d.execute(sched.Step(boottime.Now(), tick))
+			d.execute(sched.Handle(boottime.Now(), tick))
 		}
-		d.execute(sched.Step(boottime.Now(), region.Schedule{}))
+		d.execute(sched.Handle(boottime.Now(), region.Schedule{}))
 	}
 }
 
@@ -321,7 +321,7 @@
 	for {
 		select {
 		case ev := <-l.events.Items():
-			d.execute(sched.Step(boottime.Now(), ev))
+			d.execute(sched.Handle(boottime.Now(), ev))
 		default:
 			return
 		}
--- a/leader/load.go
+++ b/leader/load.go
@@ -22,7 +22,7 @@
 // intake.
 func (l *Leader) load(ctx context.Context, sched *region.Scheduler, ends []int64) ([]int64, error) {
 	now := boottime.Now()
-	sched.Step(now, region.Tick{UnixMs: time.Now().UnixMilli()})
+	sched.Handle(now, region.Tick{UnixMs: time.Now().UnixMilli()})
 	// The intake is read after fencing, so that it contains every job that an entry
 	// refers to; for the same reason it is applied first.
 	var (
@@ -39,10 +39,10 @@
 		return nil, err
 	}
 	for part, records := range intake {
-		l.applyPublished(sched.Step(now, l.decodeIntake(records)))
+		l.applyPublished(sched.Handle(now, l.decodeIntake(records)))
 		l.intakeReadAt[part].Store(int64(now))
 	}
-	l.applyPublished(sched.Step(now, region.EntriesRead{Entries: entries}))
+	l.applyPublished(sched.Handle(now, region.EntriesRead{Entries: entries}))
 	return next, nil
 }
 
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -14,16 +14,16 @@
 func newBacklogScheduler(workers, steps int, used int64) (*Scheduler, time.Duration) {
 	s := New(testOptions())
 	now := time.Hour
-	s.Step(now, Tick{UnixMs: now.Milliseconds()})
-	s.Step(now, Lead{Fence: 1})
-	s.Step(now, ConfigRead{Config: testConfig()})
-	s.Step(now, AdviceHostsChanged{Hosts: []string{"", "h2", "h3"}})
+	s.Handle(now, Tick{UnixMs: now.Milliseconds()})
+	s.Handle(now, Lead{Fence: 1})
+	s.Handle(now, ConfigRead{Config: testConfig()})
+	s.Handle(now, AdviceHostsChanged{Hosts: []string{"", "h2", "h3"}})
 	for i := range workers {
 		id := fmt.Sprintf("w%03d", i)
-		s.Step(now, WorkerListed{Entry: model.WorkerEntry{
+		s.Handle(now, WorkerListed{Entry: model.WorkerEntry{
 			ID: id, Service: "svc", Address: id, Capacity: model.Resources{MilliCPU: 32000, MemoryMiB: 64 << 10}, BornUnix: 1,
 		}})
-		s.Step(now, ProbeAnswered{Request: model.ProbeRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}})
+		s.Handle(now, ProbeAnswered{Request: model.ProbeRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}})
 	}
 	for _, w := range s.workerList {
 		w.used.MilliCPU = used
@@ -33,7 +33,7 @@
 		j.Queue, j.Workspace, j.AcceptedUnixMs = "q", "ws", now.Milliseconds()
 		j.Policy = &record.Policy{Service: "svc", Priority: int32(i % 3), MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
 			Advice: &record.Advice{DecideMs: 5, EachMs: 0.1, ValidMs: 2000}}
-		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
+		s.Handle(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
 		for n, w := range s.workerList {
 			st.advice.note(adviceMark{worker: w, eligible: (n+i)%3 == 0})
@@ -56,7 +56,7 @@
 					for _, w := range s.workerList {
 						w.probedAt = now
 					}
-					s.Step(now, Schedule{})
+					s.Handle(now, Schedule{})
 				}
 			})
 		}
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -14,10 +14,10 @@
 	pause := func(behind time.Duration) time.Duration {
 		s, now := newBacklogScheduler(1, 0, 0)
 		for range 20 * delaySamples {
-			s.Step(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
+			s.Handle(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
 		}
 		request := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
-		for _, c := range s.Step(now, ProbeAnswered{Request: request, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
+		for _, c := range s.Handle(now, ProbeAnswered{Request: request, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
 			if h, ok := c.(Probe); ok {
 				return h.After
 			}
@@ -42,9 +42,9 @@
 func TestSlowLogIsNotStalled(t *testing.T) {
 	const append = 400 * time.Millisecond
 	s := New(testOptions())
-	s.Step(time.Hour, Lead{Fence: 1})
+	s.Handle(time.Hour, Lead{Fence: 1})
 	s.seq = 1
-	s.Step(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
+	s.Handle(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
 	s.seq = 2
 	s.now = time.Hour + 2*append
 	if s.logStalled() {
@@ -63,7 +63,7 @@
 func TestProbesSlowDownAndLeasesLengthenOnFullLink(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := newBacklogScheduler(1, 0, 0)
-		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
+		s.Handle(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
 		return s.probePause(), s.leaseFor(&worker{counts: runCounts{latencySensitive: 1}})
 	}
 	if pause, lease := at(busyLink); pause != probeGap || lease != shortLease {
--- a/region/region.go
+++ b/region/region.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// Step applies one event at a time that never goes back, and returns the commands to
+// Handle applies one event at a time that never goes back, and returns the commands to
 // execute. The result is valid until the next call.
-func (s *Scheduler) Step(now time.Duration, ev Event) []Command {
+func (s *Scheduler) Handle(now time.Duration, ev Event) []Command {
 	s.now = now
 	s.out = s.out[:0]
 	s.apply(ev)
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -35,18 +35,18 @@
 func TestOldJobsAreRewrittenBeforeExpiry(t *testing.T) {
 	s := New(testOptions())
 	now := time.Hour
-	s.Step(now, Tick{UnixMs: now.Milliseconds()})
+	s.Handle(now, Tick{UnixMs: now.Milliseconds()})
 	submit := func(id string, age time.Duration) {
 		j := oneStep(id, &record.Step{Count: 1, LongRunning: true})
 		j.Policy = &record.Policy{Service: "svc"}
 		j.AcceptedUnixMs = (now - age).Milliseconds()
-		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
+		s.Handle(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 	}
 	submit("young", time.Second)
 	submit("old", testOptions().LogRetention/2+time.Second)
-	s.Step(now, Lead{Fence: 1})
+	s.Handle(now, Lead{Fence: 1})
 	written := make(map[string]int)
-	for _, c := range s.Step(now, Tick{UnixMs: now.Milliseconds()}) {
+	for _, c := range s.Handle(now, Tick{UnixMs: now.Milliseconds()}) {
 		if a, ok := c.(Append); ok {
 			for _, e := range a.Entries {
 				if k := e.GetKept(); k != nil {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -225,7 +225,7 @@
 
 func (w *world) step(ev Event) {
 	generation := w.generation
-	for _, c := range append([]Command(nil), w.sched.Step(w.now, ev)...) {
+	for _, c := range append([]Command(nil), w.sched.Handle(w.now, ev)...) {
 		w.execute(generation, c)
 	}
 }
