--- a/region/advice.go
+++ b/region/advice.go
@@ -50,8 +50,8 @@
 	return &a.marks[w.slot]
 }
 
-// note stores the answer about a worker.
-func (a *adviceState) note(m adviceMark) {
+// store stores the answer about a worker.
+func (a *adviceState) store(m adviceMark) {
 	if missing := m.worker.slot + 1 - len(a.marks); missing > 0 {
 		a.marks = append(a.marks, make([]adviceMark, missing)...)
 	}
@@ -226,7 +226,7 @@
 // workersToAsk returns the workers to name in a call now: eligible ones whose tickets
 // expire and those without an answer. Workers with room come first.
 func (s *Scheduler) workersToAsk(st *step) []string {
-	var roomy, full []string
+	var withRoom, full []string
 	stale, unknown := 0, 0
 	neededUntil := s.now + st.adviceCost(len(s.workerList)) + adviceMargin
 	for _, w := range s.workerList {
@@ -243,7 +243,7 @@
 			continue
 		}
 		if st.demand().Fits(w.free()) {
-			roomy = append(roomy, w.entry.ID)
+			withRoom = append(withRoom, w.entry.ID)
 		} else {
 			full = append(full, w.entry.ID)
 		}
@@ -252,12 +252,12 @@
 		// A few new workers do not justify a separate call.
 		return nil
 	}
-	names := append(roomy, full...)
+	names := append(withRoom, full...)
 	return names[:min(len(names), st.maxWorkersPerCall())]
 }
 
-// noteAdviceCall updates the backlog of the host through which the call was sent.
-func (s *Scheduler) noteAdviceCall(ev AdviceAnswered) {
+// updateBacklog updates the backlog of the host through which the call was sent.
+func (s *Scheduler) updateBacklog(ev AdviceAnswered) {
 	switch {
 	case !ev.Failed:
 		s.advisers.answered(ev.Request.Host, ev.Request.stepKey(), s.now)
@@ -269,7 +269,7 @@
 }
 
 func (s *Scheduler) adviceAnswered(ev AdviceAnswered) {
-	s.noteAdviceCall(ev)
+	s.updateBacklog(ev)
 	t := s.findTask(model.TaskID{Job: ev.Request.Job, Occurrence: ev.Request.Occurrence, Step: ev.Request.Step})
 	if t == nil {
 		return
@@ -301,7 +301,7 @@
 		if good {
 			m.until = until
 		}
-		st.advice.note(m)
+		st.advice.store(m)
 	}
 	s.dirty = true
 }
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -36,7 +36,7 @@
 		s.Handle(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
 		for n, w := range s.workerList {
-			st.advice.note(adviceMark{worker: w, eligible: (n+i)%3 == 0})
+			st.advice.store(adviceMark{worker: w, eligible: (n+i)%3 == 0})
 		}
 	}
 	return s, now
--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -17,11 +17,11 @@
 			w.run(5 * time.Millisecond)
 		}
 		w.workers["w0"].unreachable = true
-		over := w.sched.workerList[0].lapsesAt()
+		expiry := w.sched.workerList[0].lapsesAt()
 		w.linkLoad = load
 		for at := w.now; w.now < at+10*time.Second; w.run(5 * time.Millisecond) {
 			if len(w.sched.workerList) == 0 || len(w.sched.workerList[0].runs) == 0 {
-				return w.now - over
+				return w.now - expiry
 			}
 		}
 		t.Fatal("the run was not counted as lost within 10 s")
--- a/region/learn.go
+++ b/region/learn.go
@@ -97,9 +97,9 @@
 // of them hangs.
 func (s *Scheduler) progress(r *run, row model.Running) {
 	st := r.task.step.rec
-	if row.Percent != r.percent || r.movedAt == 0 {
+	if row.Percent != r.percent || r.progressedAt == 0 {
 		r.percent = row.Percent
-		r.movedAt = s.now
+		r.progressedAt = s.now
 		if !st.Gang && !st.LongRunning && s.isStraggler(r) {
 			r.task.movedOffSlow = true
 			r.worker.health.stalled(s.now)
@@ -107,7 +107,7 @@
 		}
 		return
 	}
-	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.movedAt < stallTimeout {
+	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.progressedAt < stallTimeout {
 		return
 	}
 	r.worker.health.stalled(s.now)
@@ -159,8 +159,8 @@
 // health tracks the failures of a worker. A worker that fails every task it starts is
 // always idle and would attract all work.
 type health struct {
-	failures int           // in a row
-	outUntil time.Duration // end of the quarantine
+	failures         int           // in a row
+	quarantinedUntil time.Duration // end of the quarantine
 }
 
 func (h *health) done() { *h = health{} }
@@ -171,16 +171,18 @@
 		return
 	}
 	period := minQuarantine << min(h.failures-quarantineAfter, 3)
-	h.outUntil = now + min(period, maxQuarantine)
+	h.quarantinedUntil = now + min(period, maxQuarantine)
 }
 
 // stalled puts a worker on which a task hangs into quarantine, since the next task
 // would hang too.
-func (h *health) stalled(now time.Duration) { h.outUntil = max(h.outUntil, now+minQuarantine) }
+func (h *health) stalled(now time.Duration) {
+	h.quarantinedUntil = max(h.quarantinedUntil, now+minQuarantine)
+}
 
 func (h *health) refused(now time.Duration) { h.failed(now) }
 
-func (h *health) healthy(now time.Duration) bool { return now >= h.outUntil }
+func (h *health) healthy(now time.Duration) bool { return now >= h.quarantinedUntil }
 
 // failurePenalty ranks a worker with recent failures behind others, in thousandths of a
 // core for each failure.
--- a/region/overdue.go
+++ b/region/overdue.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if at, pending := w.pendingCalls[id]; pending {
-		s.usualAnswer += (s.now - at - s.usualAnswer) / answerSamples
+		s.meanAnswerTime += (s.now - at - s.meanAnswerTime) / answerSamples
 		delete(w.pendingCalls, id)
 	}
 }
@@ -58,5 +58,5 @@
 // overdueBefore returns the time such that calls sent before it without an answer are
 // overdue.
 func (s *Scheduler) overdueBefore() time.Duration {
-	return s.now - max(minOverdue, overdueFactor*s.usualAnswer)
+	return s.now - max(minOverdue, overdueFactor*s.meanAnswerTime)
 }
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -11,10 +11,10 @@
 // processor busy, and every answer waits. Probes at their normal rate are half of its
 // calls: starts and calls for advice wait behind them, time out and are retried.
 func TestProbesSlowDownWhileEventsWait(t *testing.T) {
-	pause := func(behind time.Duration) time.Duration {
+	pause := func(lag time.Duration) time.Duration {
 		s, now := newBacklogScheduler(1, 0, 0)
 		for range 20 * delaySamples {
-			s.Handle(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
+			s.Handle(now, Tick{UnixMs: now.Milliseconds(), LoopLag: lag})
 		}
 		request := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
 		for _, c := range s.Handle(now, ProbeAnswered{Request: request, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
--- a/region/region.go
+++ b/region/region.go
@@ -97,16 +97,16 @@
 	uncommittedSince time.Duration    // the oldest uncommitted entry has waited since then or longer
 	commitCallbacks  []commitCallback // callbacks that wait for a commit, by entry number
 	leadSince        time.Duration
-	// usualAnswer is a running mean of the time in which workers answer an order.
-	usualAnswer time.Duration
-	loopLag     time.Duration // running mean of how long events wait for the driver
-	linkLoad    float64       // share of the driver's link in use
-	fullAt      time.Duration // when linkLoad was last above fullLink
-	dirty       bool          // a change may allow a task to start
-	lastPass    time.Duration
-	freeBounds  freeBounds
-	pacer       startPacer
-	tailStart   [numClasses]int // where the next pass resumes trying the tail of each class
+	// meanAnswerTime is a running mean of the time in which workers answer an order.
+	meanAnswerTime time.Duration
+	loopLag        time.Duration // running mean of how long events wait for the driver
+	linkLoad       float64       // share of the driver's link in use
+	fullAt         time.Duration // when linkLoad was last above fullLink
+	dirty          bool          // a change may allow a task to start
+	lastPass       time.Duration
+	freeBounds     freeBounds
+	pacer          startPacer
+	tailStart      [numClasses]int // where the next pass resumes trying the tail of each class
 
 	out []Command
 }
--- a/region/replay.go
+++ b/region/replay.go
@@ -16,7 +16,7 @@
 		case *record.Entry_Settled:
 			s.replaySettled(k.Settled)
 		case *record.Entry_Kept:
-			s.replayKept(k.Kept)
+			s.replaySnapshot(k.Kept)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	s.countEnd(t, e.Run, e.Outcome, e.Checkpoint)
 }
 
-func (s *Scheduler) replayKept(k *record.Kept) {
+func (s *Scheduler) replaySnapshot(k *record.Kept) {
 	j := s.submit(k.Job)
 	j.writtenAt = s.now
 	for _, ts := range k.Tasks {
@@ -111,19 +111,19 @@
 		}
 		j.writtenAt = s.now
 		s.written = append(s.written, j)
-		s.append(&record.Entry{Kind: &record.Entry_Kept{Kept: keptJob(j)}})
+		s.append(&record.Entry{Kind: &record.Entry_Kept{Kept: snapshotJob(j)}})
 		written++
 	}
 }
 
-// keptJob returns a snapshot of the job.
-func keptJob(j *job) *record.Kept {
+// snapshotJob returns a snapshot of the job.
+func snapshotJob(j *job) *record.Kept {
 	k := &record.Kept{Job: j.rec, Cancelled: j.cancelled}
 	for _, occ := range j.occs {
 		for _, st := range occ.steps {
 			for _, t := range st.tasks {
 				if t.lastRun > 0 {
-					k.Tasks = append(k.Tasks, keptTask(t))
+					k.Tasks = append(k.Tasks, snapshotTask(t))
 				}
 			}
 		}
@@ -131,7 +131,7 @@
 	return k
 }
 
-func keptTask(t *task) *record.TaskState {
+func snapshotTask(t *task) *record.TaskState {
 	ts := &record.TaskState{
 		Task: t.id().Record(), Run: t.lastRun, Attempts: t.attempts, Done: t.done, Checkpoint: t.checkpoint,
 	}
--- a/region/run.go
+++ b/region/run.go
@@ -50,7 +50,7 @@
 	startAttempts    int
 	calls            startCalls
 	percent          int
-	movedAt          time.Duration // when percent last changed
+	progressedAt     time.Duration // when percent last changed
 }
 
 // target returns the worker to which calls about the run are sent. The address is that of
@@ -248,7 +248,7 @@
 	r.phase = phaseRunning
 	r.startedAt = s.now
 	r.endsAt = r.expectedEnd()
-	r.movedAt = s.now
+	r.progressedAt = s.now
 	if r.settledAt == 0 {
 		r.settledAt = s.now
 	}
--- a/region/slots_test.go
+++ b/region/slots_test.go
@@ -15,7 +15,7 @@
 	s, now := newBacklogScheduler(1, 1, 0)
 	st := s.jobs[fmt.Sprintf("%016x", 0)].occs[0].steps[0]
 	left := s.workerList[0]
-	st.advice.note(adviceMark{worker: left, eligible: true, ticket: "t", until: now + time.Second})
+	st.advice.store(adviceMark{worker: left, eligible: true, ticket: "t", until: now + time.Second})
 	if !st.ticketHolds(left, now) {
 		t.Fatal("the ticket is not valid on its own worker")
 	}
--- a/region/speed.go
+++ b/region/speed.go
@@ -77,8 +77,8 @@
 	}
 	var runs []runSpeed
 	for _, t := range st.tasks {
-		if r := t.run; r != nil && r.number == number && r.percent >= minGangPercent && r.movedAt > began {
-			runs = append(runs, runSpeed{r.worker, math.Log(float64(r.percent) / (r.movedAt - began).Seconds())})
+		if r := t.run; r != nil && r.number == number && r.percent >= minGangPercent && r.progressedAt > began {
+			runs = append(runs, runSpeed{r.worker, math.Log(float64(r.percent) / (r.progressedAt - began).Seconds())})
 		}
 	}
 	learnSpeeds(runs, gangSampleWeight)
