--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -41,7 +41,7 @@
 	if status, _ := f.call(isolated, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatal("submission not accepted before the partition")
 	}
-	isolated.door.Blackhole(true)
+	isolated.endpoint.Blackhole(true)
 	first.stop()
 	<-first.done
 	req, err := http.NewRequest(http.MethodPost, "http://"+isolated.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
@@ -65,7 +65,7 @@
 	if isolated.Ready() {
 		t.Error("the isolated host is ready")
 	}
-	isolated.door.Blackhole(false)
+	isolated.endpoint.Blackhole(false)
 	f.waitUntil("the host leads after the partition", func() bool { return f.leader() == isolated })
 	f.waitUntil("the job is completed", func() bool { return f.completed(isolated, 1) })
 }
--- a/host/election.go
+++ b/host/election.go
@@ -218,7 +218,7 @@
 		}
 		return
 	}
-	if _, fence := e.newestClaim(); e.leaderGone(ctx) {
+	if _, fence := e.newestClaim(); e.noLeader(ctx) {
 		if e.nominate(ctx, fence) {
 			return
 		}
@@ -285,9 +285,9 @@
 	return time.Duration(shortfall*float64(smallHostClaimDelay)) + time.Duration(rand.Int64N(int64(claimJitter)))
 }
 
-// leaderGone reports whether there is no leader, by the claims, a ping, and in doubt
+// noLeader reports whether there is no leader, by the claims, a ping, and in doubt
 // the leader's entries in the log. It reports false until the claims have been read.
-func (e *election) leaderGone(ctx context.Context) bool {
+func (e *election) noLeader(ctx context.Context) bool {
 	e.mu.Lock()
 	claim, ok := e.claim, e.caughtUp
 	e.mu.Unlock()
--- a/host/fleet_test.go
+++ b/host/fleet_test.go
@@ -28,9 +28,9 @@
 // testHost is one host with its own access to the log.
 type testHost struct {
 	*Host
-	door *fakeplatform.Endpoint
-	stop context.CancelFunc
-	done chan struct{}
+	endpoint *fakeplatform.Endpoint
+	stop     context.CancelFunc
+	done     chan struct{}
 }
 
 const testConfig = `{"version":%d,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/p/","service":"svc","priority":1,
@@ -67,10 +67,10 @@
 // addWith adds a host with additional lines of settings.
 func (f *testRegion) addWith(name, extraSettings string) *testHost {
 	f.t.Helper()
-	m := &testHost{door: f.store.Endpoint(), done: make(chan struct{})}
+	m := &testHost{endpoint: f.store.Endpoint(), done: make(chan struct{})}
 	settings := filepath.Join(f.t.TempDir(), "settings")
 	text := fmt.Sprintf("node=%s\nip=127.0.0.1\nzone=z1\nlisten.front=%s\nlisten.ready=%s\nlisten.control=%s\nplatform.address=%s\n"+
-		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.door.Address(), extraSettings)
+		"bounds.holdMaxMs=3000\nbounds.strictRevocation=true\nbounds.graceS=3\n%s", name, f.port(), f.port(), f.port(), m.endpoint.Address(), extraSettings)
 	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -89,10 +89,10 @@
 	}()
 	f.hosts = append(f.hosts, m)
 	f.t.Cleanup(func() {
-		m.door.Refuse(false)
+		m.endpoint.Refuse(false)
 		m.stop()
 		<-m.done
-		m.door.Close()
+		m.endpoint.Close()
 	})
 	return m
 }
--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -172,11 +172,11 @@
 // would be listed again at its next ping, as a new one without history.
 func TestAdviceTimeoutKeepsHelper(t *testing.T) {
 	timeout := connect.NewError(connect.CodeDeadlineExceeded, context.DeadlineExceeded)
-	gone := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
+	refused := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
 	for _, tc := range []struct {
 		err             error
 		listed, notSent bool
-	}{{timeout, true, false}, {gone, false, true}} {
+	}{{timeout, true, false}, {refused, false, true}} {
 		h := &Host{helpers: manyHelpers(2)}
 		if got := platform.IsNotSent(h.classifyAdviceError("h000", tc.err)); got != tc.notSent {
 			t.Errorf("%v: not sent is %v, want %v", tc.err, got, tc.notSent)
--- a/host/host_test.go
+++ b/host/host_test.go
@@ -56,7 +56,7 @@
 	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
 	before := len(f.store.Records("intake"))
-	m.door.LoseAnswers(1)
+	m.endpoint.LoseAnswers(1)
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatalf("submission answered %d", status)
 	}
@@ -86,7 +86,7 @@
 		}
 		return false
 	})
-	refused.door.Refuse(true)
+	refused.endpoint.Refuse(true)
 	// A read in flight when the log began to refuse may still return the new version.
 	f.waitUntil("no read of the log is in flight", func() bool { return refused.config.LogReadAge() > 2*configWait })
 	f.configure(2, "k1")
@@ -106,7 +106,7 @@
 	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
 	f.waitUntil("the configuration is read", func() bool { return m.config.Config() != nil })
-	m.door.Refuse(true)
+	m.endpoint.Refuse(true)
 	f.waitUntil("keys are refused", func() bool {
 		status, _ := f.call(m, http.MethodGet, "/p/", "k1", "")
 		return status == http.StatusServiceUnavailable && m.config.ConfirmationAge() > m.settings.KeyRevocation-revocationMargin
@@ -208,7 +208,7 @@
 	f.waitUntil("the leader knows the others", func() bool { return len(first.helpers.alive()) == 2 })
 	const answerTime = 500 * time.Millisecond // longer than a log that was fast before may take without counting as unhealthy
 	for _, m := range f.hosts {
-		m.door.Slow(answerTime)
+		m.endpoint.Slow(answerTime)
 	}
 	for _, m := range f.hosts {
 		if m == first {
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -22,9 +22,9 @@
 // apply an end before the assignment that it belongs to, and treat a completed task as running.
 func TestEntriesOfSeveralPartitionsAreMergedInOrder(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door := store.Endpoint()
-	defer door.Close()
-	client := platform.NewClient(platform.Addresses{Log: door.Address()}, 2, nil)
+	endpoint := store.Endpoint()
+	defer endpoint.Close()
+	client := platform.NewClient(platform.Addresses{Log: endpoint.Address()}, 2, nil)
 	parts := [entryParts][][2]int64{{{1, 1}, {1, 4}, {2, 1}}, {{1, 2}, {1, 3}, {1, 4}}, {{2, 2}}}
 	var ends []int64
 	for part, entries := range parts {
@@ -75,9 +75,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var run conc.WaitGroup
 	run.Go(func() { _ = l.writer.Run(ctx) }) // ends with ctx
-	kept := make(chan struct{})
-	l.writer.Write([]byte("x"), func(logwriter.Ack) { close(kept) })
-	<-kept
+	acked := make(chan struct{})
+	l.writer.Write([]byte("x"), func(logwriter.Ack) { close(acked) })
+	<-acked
 	cancel()
 	run.Wait()
 	l.loaded.Store(true)
@@ -99,13 +99,13 @@
 // to load again: there was no leader for half a minute. A loading leader appends heartbeats.
 func TestLoadingLeaderAppendsHeartbeats(t *testing.T) {
 	store := fakeplatform.NewStore()
-	door, watching := store.Endpoint(), store.Endpoint()
-	defer door.Close()
+	endpoint, watching := store.Endpoint(), store.Endpoint()
+	defer endpoint.Close()
 	defer watching.Close()
-	door.Stall("log-read")
-	defer door.Stall("")
+	endpoint.Stall("log-read")
+	defer endpoint.Stall("")
 	l := New(Config{
-		Client: platform.NewClient(platform.Addresses{Log: door.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
+		Client: platform.NewClient(platform.Addresses{Log: endpoint.Address()}, 16, nil), Fence: 1, CallBytes: 1 << 20,
 		Log: logrus.NewEntry(logrus.New()), Metrics: tally.NoopScope,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/logwriter/logwriter_test.go
+++ b/logwriter/logwriter_test.go
@@ -20,7 +20,7 @@
 	script   []error // results of the calls in turn; nil for success, and after the end
 	executed []bool  // whether a call that fails is executed all the same
 	calls    []platform.Append
-	kept     [][]string // records by partition
+	appended [][]string // records by partition
 }
 
 func (f *scriptedStore) Append(_ context.Context, _ time.Duration, a platform.Append) (platform.Appended, error) {
@@ -32,11 +32,11 @@
 	}
 	repeat := slices.ContainsFunc(f.calls[:i], func(b platform.Append) bool { return b.Part == a.Part && b.Seq == a.Seq })
 	if (err == nil || f.executed[i]) && !repeat {
-		for len(f.kept) <= a.Part {
-			f.kept = append(f.kept, nil)
+		for len(f.appended) <= a.Part {
+			f.appended = append(f.appended, nil)
 		}
 		for _, r := range a.Records {
-			f.kept[a.Part] = append(f.kept[a.Part], string(r))
+			f.appended[a.Part] = append(f.appended[a.Part], string(r))
 		}
 	}
 	return platform.Appended{}, err
@@ -73,7 +73,7 @@
 func TestCallWithLostAnswerIsRepeatedUnderSameSequenceNumber(t *testing.T) {
 	f := &scriptedStore{script: []error{nil, errNoAnswer}, executed: []bool{true, true}}
 	writeAll(t, startWriter(t, f, 1), "a", "b", "c")
-	if diff := cmp.Diff([][]string{{"a", "b", "c"}}, f.kept); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b", "c"}}, f.appended); diff != "" {
 		t.Error(diff)
 	}
 	if f.calls[1].Seq != f.calls[2].Seq {
