--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -1,16 +1,16 @@
-// Package lifeconn makes HTTP calls to processes over connections that belong to one life
-// of a process each.
+// Package lifeconn is an HTTP/1.1 client pool in which each connection is bound to one
+// incarnation (one "life") of a server process.
 //
-// The guard is against a call that gets no answer and is carried out seconds later by the
-// process's next life at the same address, which knows nothing of before. A call goes out
-// only on a connection over which the life that it is for has answered. A process that dies
-// ends its connections, and what is on its way on them, wherever it is held up, dies with
-// it. It holds as long as nothing on the way dials anew for bytes that it has taken in on a
-// connection that was answered before.
+// It guards against a call that gets no response and is executed seconds later by the
+// process's next incarnation at the same address, which has no state from before. A call is
+// sent only on a connection on which the intended incarnation has answered a handshake. When
+// a process exits, its connections close, and calls still in transit on them, wherever they
+// are delayed, are lost with them. The guarantee holds as long as no intermediary opens a new
+// connection for bytes that it received on a connection that was answered before.
 //
-// A call uses a connection by itself and in the goroutine of its caller: with thousands of
-// calls a second to hundreds of processes, a transport with goroutines of its own for each
-// connection costs several times as much (BenchmarkCallWorker of package platform).
+// A call has its connection to itself and runs in the goroutine of its caller: at thousands
+// of calls per second to hundreds of processes, a transport with goroutines per connection
+// costs several times as much (BenchmarkCallWorker of package platform).
 package lifeconn
 
 import (
@@ -27,55 +27,57 @@
 )
 
 const (
-	// A proof that is not answered within proofFactor usual times is made again on
-	// another connection, proofTries times in all.
-	proofFactor = 8
-	proofTries  = 3
-	// leastProof and mostProof bound that wait: sound processes answer within
-	// milliseconds, and over a busy link or with a busy processor all answers are late.
-	leastProof = 50 * time.Millisecond
-	mostProof  = 800 * time.Millisecond
-	// proofMemory is over how many proofs the usual time is a running mean.
-	proofMemory = 32
-	// maxIdle is how many unused connections to a life are kept.
-	maxIdle = 4
-	// idleLife is how long an unused connection is kept.
-	idleLife = 30 * time.Second
-	// trustedIdle is how long after its last call a connection is used without a look
-	// whether the other side has ended it.
-	trustedIdle = 20 * time.Millisecond
-	// sweepEvery is how often connections that are idle for too long are looked for.
-	sweepEvery = time.Second
+	// A handshake that is not answered within handshakeTimeoutFactor times the mean is
+	// repeated on another connection, up to handshakeAttempts attempts in all.
+	handshakeTimeoutFactor = 8
+	handshakeAttempts      = 3
+	// minHandshakeTimeout and maxHandshakeTimeout bound that timeout: healthy processes
+	// answer within milliseconds, but over a busy link or with a busy processor all
+	// responses are late.
+	minHandshakeTimeout = 50 * time.Millisecond
+	maxHandshakeTimeout = 800 * time.Millisecond
+	// handshakeMeanWindow is the number of handshakes that the running mean covers.
+	handshakeMeanWindow = 32
+	// maxIdleConns is the number of idle connections kept per incarnation.
+	maxIdleConns = 4
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 30 * time.Second
+	// maxUncheckedIdle is how long after its last call a connection is reused without
+	// checking whether the peer has closed it.
+	maxUncheckedIdle = 20 * time.Millisecond
+	// sweepInterval is the minimum time between two searches for expired idle connections.
+	sweepInterval = time.Second
 )
 
-// Life names one life of a process.
+// Life identifies one incarnation of a process: its id, its IP:port and its start time.
 type Life struct {
 	ID, Address string
 	Born        int64
 }
 
-// Call is one call.
+// Call is one HTTP call.
 type Call struct {
-	Kind    string // for the counters
-	Request []byte // whole, in HTTP/1.1
-	// Timeout is how long the answer may take, from when there is a connection.
+	Kind    string // label of the traffic counters, see package linkstats
+	Request []byte // the complete HTTP/1.1 request, header and body
+	// Timeout bounds the exchange, measured from when a connection is available.
 	Timeout time.Duration
 }
 
-// Proof is the call that shows which life answers on a new connection. It does no harm
-// wherever it is carried out.
+// Proof is the handshake of a new connection: a call whose response identifies the
+// incarnation. It must be harmless when another incarnation executes it.
 type Proof struct {
 	Call
-	// Check returns an error if the answer is not that of the life wanted. An error that
-	// wraps ErrUnproven leaves open whose it is, so that another connection is tried.
+	// Check returns an error if the response is not from the intended incarnation. After
+	// an error that wraps ErrUnproven, which leaves the incarnation undetermined, the
+	// handshake is repeated on another connection.
 	Check func(Answer) error
 }
 
-// ErrUnproven marks answers that do not tell which life gave them.
-var ErrUnproven = errors.New("the answer does not tell whose it is")
+// ErrUnproven marks failed handshakes that leave the incarnation undetermined.
+var ErrUnproven = errors.New("the response does not identify the incarnation")
 
-// NotSentError reports a call of which nothing has left: it has certainly not been carried
-// out. Its cause may be the error of a Proof's check.
+// NotSentError reports a call of which no byte was sent, and which therefore was not and
+// will not be executed. Its cause may be the error returned by Proof.Check.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -84,204 +86,206 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// BusyError reports that too many calls to a life are under way.
+// BusyError reports that the limit of concurrent calls to one incarnation is reached.
 type BusyError struct{ Calls int }
 
 // Error implements error.
-func (e *BusyError) Error() string { return fmt.Sprintf("%d calls are under way already", e.Calls) }
+func (e *BusyError) Error() string { return fmt.Sprintf("%d calls are already in flight", e.Calls) }
 
-// Pool keeps connections. It is safe for concurrent use.
+// Pool makes calls and keeps idle connections for reuse. It is safe for concurrent use.
 type Pool struct {
-	dial    linkstats.Dial
-	perLife int          // calls to one life at a time
-	usual   atomic.Int64 // how long a connection and its proof take, a running mean; one that meets another may be lost
+	dial          linkstats.Dial
+	maxCalls      int          // concurrent calls to one incarnation
+	meanHandshake atomic.Int64 // running mean of dial and handshake in ns; of two concurrent updates, one may be lost
 
 	mu      sync.Mutex
-	lives   map[Life]*links
+	conns   map[Life]*connSet
 	sweptAt time.Time
 }
 
-// links are the connections to one life.
-type links struct {
-	idle []*link // the one used last comes last
-	busy int
+// connSet holds the connections to one incarnation.
+type connSet struct {
+	idle     []*persistConn // least recently used first
+	inFlight int
 }
 
-// NewPool returns a pool whose connections come from dial. It makes at most perLife calls
-// to one life at a time.
-func NewPool(dial linkstats.Dial, perLife int) *Pool {
-	return &Pool{dial: dial, perLife: perLife, lives: make(map[Life]*links)}
+// NewPool returns a pool that opens connections with dial and makes at most maxCalls
+// concurrent calls to one incarnation.
+func NewPool(dial linkstats.Dial, maxCalls int) *Pool {
+	return &Pool{dial: dial, maxCalls: maxCalls, conns: make(map[Life]*connSet)}
 }
 
-// Do makes a call. A *NotSentError tells that it was certainly not carried out; any other
-// error that it may have been, or may be yet.
-func (p *Pool) Do(ctx context.Context, life Life, c Call, proof Proof) (Answer, error) {
-	l, err := p.take(life)
+// Do makes a call. A *NotSentError means that the call was not and will not be executed;
+// after any other error it may have been executed, or may still be.
+func (p *Pool) Do(ctx context.Context, inc Life, c Call, hs Proof) (Answer, error) {
+	l, err := p.acquire(inc)
 	if err != nil {
 		return Answer{}, &NotSentError{Cause: err}
 	}
 	if l == nil {
-		if l, _, err = p.connect(ctx, life, proof); err != nil {
-			p.release(life, nil)
+		if l, _, err = p.connect(ctx, inc, hs); err != nil {
+			p.release(inc, nil)
 			return Answer{}, &NotSentError{Cause: err}
 		}
 	}
-	return p.use(ctx, life, l, c)
+	return p.callOn(ctx, inc, l, c)
 }
 
-// Look makes the proof's call for its own sake: over a connection that there is, or as the
-// proof of a new one.
-func (p *Pool) Look(ctx context.Context, life Life, proof Proof) (Answer, error) {
-	l, err := p.take(life)
+// Look makes the handshake call for its response: on an idle connection if there is one,
+// otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
+func (p *Pool) Look(ctx context.Context, inc Life, hs Proof) (Answer, error) {
+	l, err := p.acquire(inc)
 	if err != nil {
 		return Answer{}, &NotSentError{Cause: err}
 	}
 	if l != nil {
-		return p.use(ctx, life, l, proof.Call)
+		return p.callOn(ctx, inc, l, hs.Call)
 	}
-	l, ans, err := p.connect(ctx, life, proof)
-	p.release(life, l)
+	l, resp, err := p.connect(ctx, inc, hs)
+	p.release(inc, l)
 	if err != nil {
 		return Answer{}, &NotSentError{Cause: err}
 	}
-	return ans, nil
+	return resp, nil
 }
 
-// use makes a call on a connection and gives that back.
-func (p *Pool) use(ctx context.Context, life Life, l *link, c Call) (Answer, error) {
-	ans, err := l.exchange(ctx, time.Now().Add(c.Timeout), c)
-	if err != nil || ans.last {
-		_ = l.conn.Close() // what it failed with is told already
-		p.release(life, nil)
-		return ans, err
+// callOn makes a call on a connection, and then releases or closes it.
+func (p *Pool) callOn(ctx context.Context, inc Life, l *persistConn, c Call) (Answer, error) {
+	resp, err := l.exchange(ctx, time.Now().Add(c.Timeout), c)
+	if err != nil || resp.closeConn {
+		_ = l.conn.Close() // the call's error is returned
+		p.release(inc, nil)
+		return resp, err
 	}
-	p.release(life, l)
-	return ans, nil
+	p.release(inc, l)
+	return resp, nil
 }
 
-// take returns an unused connection to a life, or nil if one has to be made.
-func (p *Pool) take(life Life) (*link, error) {
+// acquire reserves a call slot and returns an idle connection, or nil if the caller has to
+// open one. Every successful acquire is followed by a release.
+func (p *Pool) acquire(inc Life) (*persistConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
-	of, known := p.lives[life]
+	set, known := p.conns[inc]
 	if !known {
-		of = &links{}
-		p.lives[life] = of
+		set = &connSet{}
+		p.conns[inc] = set
 	}
-	if of.busy >= p.perLife {
-		return nil, &BusyError{Calls: of.busy}
+	if set.inFlight >= p.maxCalls {
+		return nil, &BusyError{Calls: set.inFlight}
 	}
-	of.busy++
-	for n := len(of.idle); n > 0; n = len(of.idle) {
-		l := of.idle[n-1]
-		of.idle = of.idle[:n-1]
-		if time.Since(l.usedAt) < trustedIdle || !l.ended() {
+	set.inFlight++
+	for n := len(set.idle); n > 0; n = len(set.idle) {
+		l := set.idle[n-1]
+		set.idle = set.idle[:n-1]
+		if time.Since(l.usedAt) < maxUncheckedIdle || !l.unusable() {
 			return l, nil
 		}
-		_ = l.conn.Close() // the other side has ended it
+		_ = l.conn.Close() // closed by the peer
 	}
 	return nil, nil
 }
 
-// release gives a connection back, if there is one, after a call.
-func (p *Pool) release(life Life, l *link) {
+// release frees the call slot and keeps the connection, if l is not nil, for reuse.
+func (p *Pool) release(inc Life, l *persistConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of, known := p.lives[life]
+	set, known := p.conns[inc]
 	if !known {
-		of = &links{busy: 1}
-		p.lives[life] = of
+		set = &connSet{inFlight: 1}
+		p.conns[inc] = set
 	}
-	of.busy--
+	set.inFlight--
 	switch {
 	case l == nil:
-	case len(of.idle) >= maxIdle:
+	case len(set.idle) >= maxIdleConns:
 		_ = l.conn.Close() // unused
 	default:
 		l.usedAt = time.Now()
-		of.idle = append(of.idle, l)
+		set.idle = append(set.idle, l)
 	}
-	if of.busy == 0 && len(of.idle) == 0 {
-		delete(p.lives, life)
+	if set.inFlight == 0 && len(set.idle) == 0 {
+		delete(p.conns, inc)
 	}
 }
 
-// sweep closes connections that have been idle for too long.
+// sweep closes connections that have been idle for longer than idleTimeout. The caller
+// holds p.mu.
 func (p *Pool) sweep() {
-	if time.Since(p.sweptAt) < sweepEvery {
+	if time.Since(p.sweptAt) < sweepInterval {
 		return
 	}
 	p.sweptAt = time.Now()
-	for life, of := range p.lives {
-		for len(of.idle) > 0 && time.Since(of.idle[0].usedAt) > idleLife {
-			_ = of.idle[0].conn.Close() // unused
-			of.idle = of.idle[1:]
+	for inc, set := range p.conns {
+		for len(set.idle) > 0 && time.Since(set.idle[0].usedAt) > idleTimeout {
+			_ = set.idle[0].conn.Close() // unused
+			set.idle = set.idle[1:]
 		}
-		if of.busy == 0 && len(of.idle) == 0 {
-			delete(p.lives, life)
+		if set.inFlight == 0 && len(set.idle) == 0 {
+			delete(p.conns, inc)
 		}
 	}
 }
 
-// CloseIdle closes the connections that no call uses.
+// CloseIdle closes all idle connections.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for life, of := range p.lives {
-		for _, l := range of.idle {
+	for inc, set := range p.conns {
+		for _, l := range set.idle {
 			_ = l.conn.Close() // unused
 		}
-		of.idle = nil
-		if of.busy == 0 {
-			delete(p.lives, life)
+		set.idle = nil
+		if set.inFlight == 0 {
+			delete(p.conns, inc)
 		}
 	}
 }
 
-// connect makes a connection that is proven, and returns the answer that proved it. A
-// proof without an answer is made again on another connection.
-func (p *Pool) connect(ctx context.Context, life Life, proof Proof) (*link, Answer, error) {
+// connect opens a connection, completes the handshake on it and returns its response. A
+// handshake that leaves the incarnation undetermined is repeated on another connection.
+func (p *Pool) connect(ctx context.Context, inc Life, hs Proof) (*persistConn, Answer, error) {
 	var (
-		l   *link
-		ans Answer
-		err error
+		l    *persistConn
+		resp Answer
+		err  error
 	)
-	for range proofTries {
-		l, ans, err = p.once(ctx, life, proof)
+	for range handshakeAttempts {
+		l, resp, err = p.connectOnce(ctx, inc, hs)
 		if err == nil || !errors.Is(err, ErrUnproven) || errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil {
 			break
 		}
 	}
-	return l, ans, err
+	return l, resp, err
 }
 
-func (p *Pool) once(ctx context.Context, life Life, proof Proof) (*link, Answer, error) {
-	began := time.Now()
-	wait := min(max(leastProof, proofFactor*time.Duration(p.usual.Load())), mostProof)
-	dialCtx, cancel := context.WithTimeout(ctx, wait)
+func (p *Pool) connectOnce(ctx context.Context, inc Life, hs Proof) (*persistConn, Answer, error) {
+	start := time.Now()
+	timeout := min(max(minHandshakeTimeout, handshakeTimeoutFactor*time.Duration(p.meanHandshake.Load())), maxHandshakeTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := p.dial(dialCtx, "tcp", life.Address)
+	conn, err := p.dial(dialCtx, "tcp", inc.Address)
 	if err != nil {
 		return nil, Answer{}, errors.Mark(err, ErrUnproven)
 	}
-	l := newLink(conn)
-	ans, err := l.exchange(ctx, began.Add(wait), proof.Call)
+	l := newPersistConn(conn)
+	resp, err := l.exchange(ctx, start.Add(timeout), hs.Call)
 	switch {
 	case err != nil:
 		err = errors.Mark(err, ErrUnproven)
 	default:
-		if err = proof.Check(ans); err == nil && ans.last {
-			err = errors.Mark(errOneCall, ErrUnproven)
+		if err = hs.Check(resp); err == nil && resp.closeConn {
+			err = errors.Mark(errNotReusable, ErrUnproven)
 		}
 	}
 	if err != nil {
-		_ = conn.Close() // the proof's error says more
+		_ = conn.Close() // the handshake's error is returned
 		return nil, Answer{}, err
 	}
-	usual := time.Duration(p.usual.Load())
-	p.usual.Store(int64(usual + (time.Since(began)-usual)/proofMemory))
-	return l, ans, nil
+	mean := time.Duration(p.meanHandshake.Load())
+	p.meanHandshake.Store(int64(mean + (time.Since(start)-mean)/handshakeMeanWindow))
+	return l, resp, nil
 }
 
-var errOneCall = errors.New("the other side ends the connection after one call")
+var errNotReusable = errors.New("the peer closes the connection after one call")
--- a/lifeconn/lifeconn_test.go
+++ b/lifeconn/lifeconn_test.go
@@ -21,46 +21,46 @@
 
 var request = []byte("POST /call HTTP/1.1\r\nHost: i-1\r\nContent-Length: 0\r\n\r\n")
 
-var errOtherLife = errors.New("another life answered")
+var errOtherIncarnation = errors.New("another incarnation answered")
 
-func otherLife(err error) bool { return notSent(err) && errors.Is(err, errOtherLife) }
+func otherIncarnation(err error) bool { return notSent(err) && errors.Is(err, errOtherIncarnation) }
 
 func notSent(err error) bool {
 	var e *NotSentError
 	return errors.As(err, &e)
 }
 
-// bornAt is the proof of the life that answers with the time of its birth.
-func bornAt(born int64) Proof {
+// handshakeFor returns the handshake of the incarnation that answers with this start time.
+func handshakeFor(born int64) Proof {
 	return Proof{
 		Call: Call{Request: []byte("POST /look HTTP/1.1\r\nHost: i-1\r\nContent-Length: 0\r\n\r\n"), Timeout: time.Second},
-		Check: func(ans Answer) error {
-			if string(ans.Body) != strconv.FormatInt(born, 10) {
-				return errOtherLife
+		Check: func(resp Answer) error {
+			if string(resp.Body) != strconv.FormatInt(born, 10) {
+				return errOtherIncarnation
 			}
 			return nil
 		},
 	}
 }
 
-// dials hands out connections in memory. The worker answers a look only on those from
-// the one numbered answersFrom on, counted from 1, as the life born at born.
-type dials struct {
+// fakeWorker is the server side of in-memory connections, which are counted from 1. It
+// answers on connections from number answersFrom on, as the incarnation started at born.
+type fakeWorker struct {
 	mu          sync.Mutex
-	n           int
+	dials       int
 	answersFrom int
 	born        int64
-	open        []net.Conn // of the worker's side
+	conns       []net.Conn // the server ends
 	calls       atomic.Int32
 }
 
-func (d *dials) dial(context.Context, string, string) (net.Conn, error) {
+func (d *fakeWorker) dial(context.Context, string, string) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.n++
+	d.dials++
 	ours, theirs := net.Pipe()
-	d.open = append(d.open, theirs)
-	answers := d.n >= d.answersFrom
+	d.conns = append(d.conns, theirs)
+	answers := d.dials >= d.answersFrom
 	go func() {
 		in := bufio.NewReader(theirs)
 		for n := 0; ; n++ {
@@ -72,43 +72,42 @@
 				d.calls.Add(1)
 			}
 			body := strconv.FormatInt(d.born, 10)
-			_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) // a caller that left is told nothing
+			_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) // the caller may have closed its end
 		}
 	}()
 	return ours, nil
 }
 
-// A sound worker loses the first look over a new connection, as a third of all answers
-// may get lost. The start that waits for the connection must not be lost with it: each
-// would cost its task the time of a whole call. The look is made again on another one.
-// Where none is answered, the start was certainly not sent; where another life answers,
-// there is nothing to be tried again.
-func TestProofs(t *testing.T) {
+// Guards against the loss of a call because the handshake before it got no response, as up
+// to a third of all responses may be lost; each lost start call would delay its task by a
+// whole call timeout. The handshake is repeated on another connection. If none is answered,
+// the call was certainly not sent; if another incarnation answers, nothing is repeated.
+func TestHandshakeIsRepeatedAfterLostResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		answersFrom int
 		born        int64
-		dials       int // connections that are made
+		dials       int // connections opened
 		check       func(error) bool
 	}{
 		"answered at once":    {1, 7, 1, func(err error) bool { return err == nil }},
 		"first answer lost":   {2, 7, 2, func(err error) bool { return err == nil }},
-		"no answer":           {100, 7, proofTries, func(err error) bool { return notSent(err) && !otherLife(err) }},
-		"another life":        {1, 8, 1, otherLife},
-		"another life, later": {2, 8, 2, otherLife},
+		"no answer":           {100, 7, handshakeAttempts, func(err error) bool { return notSent(err) && !otherIncarnation(err) }},
+		"other incarnation":   {1, 8, 1, otherIncarnation},
+		"other, after a loss": {2, 8, 2, otherIncarnation},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &dials{answersFrom: c.answersFrom, born: c.born}
+				d := &fakeWorker{answersFrom: c.answersFrom, born: c.born}
 				p := NewPool(d.dial, 4)
-				_, err := p.Do(t.Context(), Life{ID: "i-1", Address: "10.0.0.1:1", Born: 7}, Call{Request: request, Timeout: time.Second}, bornAt(7))
-				if !c.check(err) || d.n != c.dials {
-					t.Errorf("%d connections, want %d; error %v", d.n, c.dials, err)
+				_, err := p.Do(t.Context(), Life{ID: "i-1", Address: "10.0.0.1:1", Born: 7}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
+				if !c.check(err) || d.dials != c.dials {
+					t.Errorf("%d connections, want %d; error %v", d.dials, c.dials, err)
 				}
 				if sent := d.calls.Load() > 0; sent != (err == nil) {
 					t.Errorf("call sent: %v, with error %v", sent, err)
 				}
 				p.CloseIdle()
-				for _, o := range d.open {
+				for _, o := range d.conns {
 					_ = o.Close()
 				}
 			})
@@ -116,9 +115,9 @@
 	}
 }
 
-// answers makes the calls of a process over one pool and returns the answers, from a server
-// that answers each connection with the bytes given, one entry for each call.
-func answers(t *testing.T, calls int, script ...string) []Answer {
+// callScriptedServer makes calls through one pool to a server that sends the entries of
+// script on each connection, one per request, and returns the responses.
+func callScriptedServer(t *testing.T, calls int, script ...string) []Answer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,20 +147,20 @@
 	p := NewPool((&net.Dialer{}).DialContext, 4)
 	defer p.CloseIdle()
 	var out []Answer
-	proof := bornAt(1)
+	proof := handshakeFor(1)
 	proof.Check = func(Answer) error { return nil }
 	for range calls {
-		ans, err := p.Do(context.Background(), Life{Address: l.Addr().String()}, Call{Request: request, Timeout: 5 * time.Second}, proof)
+		resp, err := p.Do(context.Background(), Life{Address: l.Addr().String()}, Call{Request: request, Timeout: 5 * time.Second}, proof)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, ans)
+		out = append(out, resp)
 	}
 	return out
 }
 
-// Answers come in each of the forms that HTTP/1.1 has for a body, and after interim ones.
-func TestFormsOfAnswers(t *testing.T) {
+// Responses are read in each form that HTTP/1.1 has for a body, and after interim responses.
+func TestReadsAllFormsOfResponseBodies(t *testing.T) {
 	const proof = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		text   string
@@ -175,71 +174,71 @@
 		"without body": {"HTTP/1.1 204 No Content\r\n\r\n", 204, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, ans := range answers(t, 2, proof, c.text, c.text) {
-				if ans.Status != c.status || string(ans.Body) != c.body {
-					t.Errorf("status %d, body %q", ans.Status, ans.Body)
+			for _, resp := range callScriptedServer(t, 2, proof, c.text, c.text) {
+				if resp.Status != c.status || string(resp.Body) != c.body {
+					t.Errorf("status %d, body %q", resp.Status, resp.Body)
 				}
 			}
 		})
 	}
 }
 
-// A process ends a connection while nobody uses it. The next call must not go out on it: it
-// would come back without an answer, as one that may have been carried out.
-func TestConnectionThatEndedIsNotUsed(t *testing.T) {
+// Guards against a call on an idle connection that the server has closed: it would fail
+// without a response, as a call that may have been executed.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
 	p := NewPool((&net.Dialer{}).DialContext, 4)
 	defer p.CloseIdle()
-	proof := bornAt(1)
+	proof := handshakeFor(1)
 	proof.Check = func(Answer) error { return nil }
-	life := Life{Address: strings.TrimPrefix(s.URL, "http://")}
+	inc := Life{Address: strings.TrimPrefix(s.URL, "http://")}
 	for range 20 {
-		if _, err := p.Do(context.Background(), life, Call{Request: request, Timeout: 5 * time.Second}, proof); err != nil {
+		if _, err := p.Do(context.Background(), inc, Call{Request: request, Timeout: 5 * time.Second}, proof); err != nil {
 			t.Fatal(err)
 		}
 		s.CloseClientConnections()
 		p.mu.Lock()
-		for _, l := range p.lives[life].idle {
+		for _, l := range p.conns[inc].idle {
 			l.usedAt = time.Time{}
-			for !l.ended() {
-				runtime.Gosched() // the end is on its way
+			for !l.unusable() {
+				runtime.Gosched() // the close has not arrived yet
 			}
 		}
 		p.mu.Unlock()
 	}
 }
 
-// A process that no longer answers holds up each call until its time is over. There are
-// never more of them than the bound, and none of the refused ones was sent.
-func TestCallsToOneLifeAreBounded(t *testing.T) {
+// A process that no longer answers delays each call until its timeout. The number of such
+// calls stays within the limit, and a call refused because of it was not sent.
+func TestCallsPerIncarnationAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &dials{answersFrom: 100}
+		d := &fakeWorker{answersFrom: 100}
 		p := NewPool(d.dial, 2)
 		ended := make(chan error)
 		for range 3 {
 			go func() {
-				_, err := p.Do(t.Context(), Life{}, Call{Request: request, Timeout: time.Second}, bornAt(7))
+				_, err := p.Do(t.Context(), Life{}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
 				ended <- err
 			}()
 		}
 		var busy *BusyError
 		if err := <-ended; !errors.As(err, &busy) || !notSent(err) {
-			t.Errorf("error %v, want that too many calls are under way", err)
+			t.Errorf("error %v, want a BusyError", err)
 		}
 		for range 2 {
 			if err := <-ended; errors.As(err, &busy) {
-				t.Errorf("error %v within the bound", err)
+				t.Errorf("error %v within the limit", err)
 			}
 		}
-		for _, o := range d.open {
+		for _, o := range d.conns {
 			_ = o.Close()
 		}
 	})
 }
 
-// FuzzAnswer: whatever a process sends, reading it ends, with an answer or an error.
-func FuzzAnswer(f *testing.F) {
+// FuzzReadResponse: reading any input ends with a valid response or an error.
+func FuzzReadResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
@@ -249,9 +248,9 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l := &link{in: bufio.NewReaderSize(strings.NewReader(string(text)), readBuffer)}
-		if ans, err := l.read(); err == nil && (ans.Status < 200 || ans.Status > 999) {
-			t.Errorf("status %d", ans.Status)
+		l := &persistConn{in: bufio.NewReaderSize(strings.NewReader(string(text)), readBuffer)}
+		if resp, err := l.readResponse(); err == nil && (resp.Status < 200 || resp.Status > 999) {
+			t.Errorf("status %d", resp.Status)
 		}
 	})
 }
--- a/lifeconn/link.go
+++ b/lifeconn/link.go
@@ -18,34 +18,36 @@
 )
 
 const (
-	// readBuffer is how much of an answer is read at once: most are smaller.
+	// readBuffer is the read buffer size in bytes: most responses are smaller.
 	readBuffer = 2 << 10
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 16 << 10
-	// maxBodyBytes bounds the body of an answer: 500 ends and what runs come to 100 KiB.
+	// maxBodyBytes bounds the body of a response: 500 run results and the list of running
+	// tasks come to 100 KiB.
 	maxBodyBytes = 8 << 20
 )
 
-// Answer is the answer to a call.
+// Answer is the response to a call.
 type Answer struct {
-	Status int
-	Body   []byte
-	last   bool // the connection takes no further call
+	Status    int
+	Body      []byte
+	closeConn bool // the connection can't be reused
 }
 
-// link is one connection.
-type link struct {
+// persistConn is a connection that is kept open between calls.
+type persistConn struct {
 	conn   net.Conn
 	in     *bufio.Reader
 	usedAt time.Time
 }
 
-func newLink(conn net.Conn) *link {
-	return &link{conn: conn, in: bufio.NewReaderSize(conn, readBuffer)}
+func newPersistConn(conn net.Conn) *persistConn {
+	return &persistConn{conn: conn, in: bufio.NewReaderSize(conn, readBuffer)}
 }
 
-// exchange sends a call and reads its answer.
-func (l *link) exchange(ctx context.Context, deadline time.Time, c Call) (Answer, error) {
+// exchange sends a call and reads its response. It fails when the deadline passes or ctx
+// ends.
+func (l *persistConn) exchange(ctx context.Context, deadline time.Time, c Call) (Answer, error) {
 	if err := l.conn.SetDeadline(deadline); err != nil {
 		return Answer{}, err
 	}
@@ -55,19 +57,19 @@
 	if _, err := l.conn.Write(c.Request); err != nil {
 		return Answer{}, err
 	}
-	ans, err := l.read()
+	resp, err := l.readResponse()
 	if err != nil {
 		return Answer{}, err
 	}
 	if !stop() {
-		ans.last = true // its deadline is over, or about to be
+		resp.closeConn = true // ctx has ended: the connection's deadline is in the past, or is being moved there
 	}
-	return ans, nil
+	return resp, nil
 }
 
-// ended reports whether the other side has ended the connection, or has sent what nobody
-// asked for.
-func (l *link) ended() bool {
+// unusable reports whether the peer has closed the connection or has sent data without a
+// request.
+func (l *persistConn) unusable() bool {
 	if l.in.Buffered() > 0 {
 		return true
 	}
@@ -79,49 +81,49 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		idle = errors.Is(err, unix.EAGAIN)
 	})
-	return err != nil || !quiet
+	return err != nil || !idle
 }
 
-// FormatError reports an answer that is not one in HTTP/1.1.
+// FormatError reports a response that is not valid HTTP/1.1.
 type FormatError struct{ Problem string }
 
 // Error implements error.
-func (e *FormatError) Error() string { return "not an answer in HTTP/1.1: " + e.Problem }
-
-// head is what counts of an answer's header.
-type head struct {
-	status  int
-	length  int64 // of the body; -1 if it is not declared
-	chunked bool
-	last    bool
+func (e *FormatError) Error() string { return "malformed HTTP/1.1 response: " + e.Problem }
+
+// responseHead holds the parts of a response's header that decide how its body is read.
+type responseHead struct {
+	status    int
+	length    int64 // of the body in bytes; -1 if not declared
+	chunked   bool
+	closeConn bool
 }
 
-// read reads one answer.
-func (l *link) read() (Answer, error) {
+// readResponse reads one final response and skips interim ones.
+func (l *persistConn) readResponse() (Answer, error) {
 	for {
-		h, err := l.readHead()
+		h, err := l.readHeader()
 		if err != nil {
 			return Answer{}, err
 		}
 		if h.status < 200 {
-			continue // an interim answer: the final one follows
+			continue // an interim response: the final one follows
 		}
 		body, err := l.readBody(&h)
 		if err != nil {
 			return Answer{}, err
 		}
-		return Answer{Status: h.status, Body: body, last: h.last || l.in.Buffered() > 0}, nil
+		return Answer{Status: h.status, Body: body, closeConn: h.closeConn || l.in.Buffered() > 0}, nil
 	}
 }
 
-func (l *link) readHead() (head, error) {
-	h := head{length: -1}
+func (l *persistConn) readHeader() (responseHead, error) {
+	h := responseHead{length: -1}
 	line, err := l.in.ReadSlice('\n')
 	if err != nil {
 		return h, err
@@ -133,7 +135,7 @@
 	if h.status, err = strconv.Atoi(string(rest[:3])); err != nil || h.status < 100 {
 		return h, &FormatError{Problem: "status"}
 	}
-	h.last = bytes.Equal(version, []byte("HTTP/1.0"))
+	h.closeConn = bytes.Equal(version, []byte("HTTP/1.0"))
 	for size := len(line); ; {
 		line, err := l.in.ReadSlice('\n')
 		if err != nil {
@@ -145,40 +147,40 @@
 		if line = bytes.TrimRight(line, "\r\n"); len(line) == 0 {
 			return h, nil
 		}
-		if err := h.field(line); err != nil {
+		if err := h.parseField(line); err != nil {
 			return h, err
 		}
 	}
 }
 
-// field takes a header field into account.
-func (h *head) field(line []byte) error {
+// parseField records a header field that matters for reading the body.
+func (h *responseHead) parseField(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
 		return &FormatError{Problem: "header field"}
 	}
 	value = bytes.TrimSpace(value)
 	switch {
-	case is(name, "content-length"):
+	case equalFold(name, "content-length"):
 		n, err := strconv.ParseInt(string(value), 10, 64)
 		if err != nil || n < 0 || n > maxBodyBytes {
 			return &FormatError{Problem: "content length"}
 		}
 		h.length = n
-	case is(name, "transfer-encoding"):
-		if !is(value, "chunked") {
+	case equalFold(name, "transfer-encoding"):
+		if !equalFold(value, "chunked") {
 			return &FormatError{Problem: "transfer encoding"}
 		}
 		h.chunked = true
-	case is(name, "connection"):
-		h.last = h.last || is(value, "close")
+	case equalFold(name, "connection"):
+		h.closeConn = h.closeConn || equalFold(value, "close")
 	}
 	return nil
 }
 
-func is(a []byte, b string) bool { return len(a) == len(b) && bytes.EqualFold(a, []byte(b)) }
+func equalFold(a []byte, b string) bool { return len(a) == len(b) && bytes.EqualFold(a, []byte(b)) }
 
-func (l *link) readBody(h *head) ([]byte, error) {
+func (l *persistConn) readBody(h *responseHead) ([]byte, error) {
 	switch {
 	case h.status == 204 || h.status == 304 || h.length == 0 && !h.chunked:
 		return nil, nil
@@ -187,9 +189,9 @@
 		if err != nil {
 			return nil, err
 		}
-		return body, l.endChunks(h)
+		return body, l.readTrailer(h)
 	case h.length < 0:
-		h.last = true
+		h.closeConn = true
 		return io.ReadAll(io.LimitReader(l.in, maxBodyBytes))
 	}
 	body := make([]byte, h.length)
@@ -197,12 +199,12 @@
 	return body, err
 }
 
-// endChunks reads the end of a body in chunks. One with a trailer ends its connection.
-func (l *link) endChunks(h *head) error {
+// readTrailer reads what follows the last chunk. After a trailer the connection is not reused.
+func (l *persistConn) readTrailer(h *responseHead) error {
 	line, err := l.in.ReadSlice('\n')
 	if err != nil {
 		return err
 	}
-	h.last = h.last || len(bytes.TrimRight(line, "\r\n")) > 0
+	h.closeConn = h.closeConn || len(bytes.TrimRight(line, "\r\n")) > 0
 	return nil
 }
