--- a/linkstats/linkstats.go
+++ b/linkstats/linkstats.go
@@ -1,6 +1,6 @@
 // Package linkstats counts the bytes that a process sends and receives over HTTP, by
-// kind of call. It counts what passes the sockets, headers included; what TCP and IP add
-// to it, some 40 bytes a packet, is not part of the figures.
+// kind of call. It counts the bytes read from and written to sockets, HTTP headers
+// included; TCP and IP headers, some 40 bytes per packet, are not counted.
 package linkstats
 
 import (
@@ -17,21 +17,22 @@
 )
 
 const (
-	// kindConnect is the kind of what passes a connection before its first call.
+	// kindConnect is the kind of bytes that pass a connection before its first call.
 	kindConnect = "connect"
-	// kindOther is the kind of calls whose path says nothing.
+	// kindOther is the kind of calls with an empty path and of kinds above maxKinds.
 	kindOther = "other"
-	// maxKinds bounds the kinds that are counted apart. Paths of callers are not
-	// ours to choose, so that there is no bound to them otherwise.
+	// maxKinds bounds the kinds that have counters. Callers choose the paths of their
+	// requests freely, and without a bound each new path would add counters.
 	maxKinds = 64
 )
 
 // Meter counts bytes. Its counters are sent_bytes_total, received_bytes_total and
-// calls_total, tagged with kind. Bytes of a call show once its connection is used again
-// or ends. A Meter is safe for concurrent use; a nil one counts nothing.
+// calls_total, tagged with kind. The bytes of a call are added to its kind's counters
+// when its connection is used again or closed. A Meter is safe for concurrent use; a nil
+// one counts nothing.
 type Meter struct {
-	scope tally.Scope
-	fresh *counters // of connections without a call
+	scope   tally.Scope
+	connect *counters // of connections before their first call
 
 	mu    sync.Mutex
 	kinds map[string]*counters
@@ -42,20 +43,20 @@
 
 type counters struct{ sent, received, calls tally.Counter }
 
-// New returns a meter whose counters are in scope.
+// New returns a meter that reports to scope.
 func New(scope tally.Scope) *Meter {
 	m := &Meter{scope: scope, kinds: make(map[string]*counters)}
-	m.fresh = m.of(kindConnect)
+	m.connect = m.countersFor(kindConnect)
 	return m
 }
 
-// Sent returns how many bytes have been sent so far, over all kinds.
+// Sent returns the number of bytes sent so far, over all kinds.
 func (m *Meter) Sent() int64 { return m.sent.Load() }
 
-// Received returns how many bytes have been received so far, over all kinds.
+// Received returns the number of bytes received so far, over all kinds.
 func (m *Meter) Received() int64 { return m.received.Load() }
 
-func (m *Meter) of(kind string) *counters {
+func (m *Meter) countersFor(kind string) *counters {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c, known := m.kinds[kind]
@@ -73,18 +74,18 @@
 	return c
 }
 
-// conn is a connection whose bytes are counted.
+// conn is a net.Conn whose bytes are counted.
 type conn struct {
 	net.Conn
 	meter    *Meter
-	kind     atomic.Pointer[counters] // of the newest call on it
-	sent     atomic.Int64             // of that call so far
+	kind     atomic.Pointer[counters] // of the latest call on it
+	sent     atomic.Int64             // since the last flush
 	received atomic.Int64
 }
 
-func (m *Meter) counted(inner net.Conn) *conn {
+func (m *Meter) wrap(inner net.Conn) *conn {
 	c := &conn{Conn: inner, meter: m}
-	c.kind.Store(m.fresh)
+	c.kind.Store(m.connect)
 	return c
 }
 
@@ -106,7 +107,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.settle(c.kind.Load(), c.kind.Load())
+	c.flush(c.kind.Load(), c.kind.Load())
 	return c.Conn.Close()
 }
 
@@ -119,8 +120,8 @@
 	return inner.SyscallConn()
 }
 
-// settle attributes what has passed since the last time.
-func (c *conn) settle(sent, received *counters) {
+// flush adds the bytes since the last flush to the counters of the given kinds.
+func (c *conn) flush(sent, received *counters) {
 	if n := c.sent.Swap(0); n > 0 {
 		sent.sent.Inc(n)
 	}
@@ -129,23 +130,23 @@
 	}
 }
 
-// Begin tells that a call of that kind begins on a connection from Dialer: what passes
-// from now on belongs to it. Other connections are left alone.
+// Begin counts a call of a kind on a connection made by Dialer, and attributes the
+// connection's bytes from now on to that kind. It ignores other connections.
 func Begin(c net.Conn, kind string) {
-	counted, ok := c.(*conn)
+	cc, ok := c.(*conn)
 	if !ok {
 		return
 	}
-	before, next := counted.kind.Load(), counted.meter.of(kind)
-	counted.settle(before, before)
-	counted.kind.Store(next)
+	prev, next := cc.kind.Load(), cc.meter.countersFor(kind)
+	cc.flush(prev, prev)
+	cc.kind.Store(next)
 	next.calls.Inc(1)
 }
 
-// Dial makes connections.
+// Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns dial with connections that are counted.
+// Dialer wraps dial to count the bytes of its connections.
 func (m *Meter) Dialer(dial Dial) Dial {
 	if m == nil {
 		return dial
@@ -155,12 +156,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.counted(inner), nil
+		return m.wrap(inner), nil
 	}
 }
 
-// Client returns next with its calls counted by kind, which is the last element of their
-// path. Its connections have to come from Dialer.
+// Client wraps next to count its calls by kind, which is the last element of their path.
+// The connections of next must be made by Dialer.
 func (m *Meter) Client(next http.RoundTripper) http.RoundTripper {
 	if m == nil {
 		return next
@@ -179,7 +180,7 @@
 	return c.next.RoundTrip(req.WithContext(ctx))
 }
 
-// CloseIdleConnections closes the connections that no call uses.
+// CloseIdleConnections closes the idle connections of the wrapped transport.
 func (c *client) CloseIdleConnections() {
 	if t, ok := c.next.(interface{ CloseIdleConnections() }); ok {
 		t.CloseIdleConnections()
--- a/linkstats/linkstats_test.go
+++ b/linkstats/linkstats_test.go
@@ -22,21 +22,21 @@
 	return c.Value()
 }
 
-// exchange makes calls from a counted client to a counted server and returns both
-// scopes, after all connections have ended.
+// exchange makes calls from a metered client to a metered server and returns both
+// scopes after all connections have been closed.
 func exchange(t *testing.T, paths ...string) (client, server tally.TestScope) {
 	t.Helper()
 	client, server = tally.NewTestScope("", nil), tally.NewTestScope("", nil)
-	served := New(server)
-	s := httptest.NewUnstartedServer(served.Server("", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	serverMeter := New(server)
+	s := httptest.NewUnstartedServer(serverMeter.Server("", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	})))
-	s.Listener = served.Listener(s.Listener)
+	s.Listener = serverMeter.Listener(s.Listener)
 	s.Config.ConnContext = ConnContext
 	s.Start()
-	asked := New(client)
-	transport := &http.Transport{DialContext: asked.Dialer((&net.Dialer{}).DialContext)}
-	c := &http.Client{Transport: asked.Client(transport)}
+	clientMeter := New(client)
+	transport := &http.Transport{DialContext: clientMeter.Dialer((&net.Dialer{}).DialContext)}
+	c := &http.Client{Transport: clientMeter.Client(transport)}
 	for _, p := range paths {
 		resp, err := c.Post(s.URL+p, "text/plain", strings.NewReader(strings.Repeat("x", 1000)))
 		if err != nil {
@@ -54,8 +54,8 @@
 	return client, server
 }
 
-// What one side counts as sent under a kind is what the other counts as received under
-// it, headers included, on a connection that several kinds share.
+// For each kind, one side counts as sent what the other counts as received, headers
+// included, also on a connection that several kinds share.
 func TestBothSidesCountTheSame(t *testing.T) {
 	client, server := exchange(t, "/a/look", "/a/look", "/a/start")
 	for _, kind := range []string{"look", "start"} {
@@ -73,9 +73,9 @@
 	}
 }
 
-// A call that gets no answer is counted all the same: under congestion most bytes are
-// those of calls that were given up.
-func TestCallWithoutAnswerIsCounted(t *testing.T) {
+// A call without a response is counted too: under congestion most bytes belong to calls
+// that timed out.
+func TestCallWithoutResponseIsCounted(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	m := New(scope)
 	release := make(chan struct{})
@@ -90,19 +90,19 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Do(req); err == nil {
-		t.Fatal("an answer came")
+		t.Fatal("got a response, want a timeout")
 	}
 	c.CloseIdleConnections()
 	if n := m.Sent(); n == 0 {
-		t.Error("nothing is counted as sent")
+		t.Error("no byte counted as sent")
 	}
 }
 
-// Paths that callers choose freely do not make counters without end.
+// Guards against an unbounded number of counters from paths that callers choose freely.
 func TestKindsAreBounded(t *testing.T) {
 	m := New(tally.NewTestScope("", nil))
 	for i := range 10 * maxKinds {
-		m.of(strings.Repeat("x", i+1)).calls.Inc(1)
+		m.countersFor(strings.Repeat("x", i+1)).calls.Inc(1)
 	}
 	if n := len(m.kinds); n > maxKinds+1 {
 		t.Errorf("%d kinds, want at most %d", n, maxKinds+1)
--- a/linkstats/load_test.go
+++ b/linkstats/load_test.go
@@ -7,8 +7,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// The busier direction counts, in the window that has passed and not over all time.
-func TestLoad(t *testing.T) {
+// The load is that of the busier direction, over the last window and not over all time.
+func TestLoadIsThatOfBusierDirection(t *testing.T) {
 	m := New(tally.NoopScope)
 	l := NewLoad(m, 1000)
 	now := time.Hour
--- a/linkstats/server.go
+++ b/linkstats/server.go
@@ -6,10 +6,10 @@
 	"net/http"
 )
 
-// servedPrefix marks the kinds of calls that this process answers.
+// servedPrefix is prepended to the kinds of calls that this process serves.
 const servedPrefix = "served_"
 
-// Listener returns l with connections that are counted.
+// Listener wraps l to count the bytes of its connections.
 func (m *Meter) Listener(l net.Listener) net.Listener {
 	if m == nil {
 		return l
@@ -28,36 +28,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.meter.counted(inner), nil
+	return l.meter.wrap(inner), nil
 }
 
 type connKey struct{}
 
-// ConnContext is the hook of an http.Server that lets Server find the connection of
-// a call.
+// ConnContext is for the ConnContext field of an http.Server. It lets Server find the
+// connection of a call.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Server returns next with its calls counted as served_kind, where an empty kind stands
-// for the last element of each call's path. Its connections have to come from Listener,
-// and its server needs ConnContext.
+// Server wraps next to count its calls as served_ plus kind; an empty kind stands for the
+// last element of each call's path. The connections must be accepted by Listener, and the
+// http.Server must use ConnContext.
 func (m *Meter) Server(kind string, next http.Handler) http.Handler {
 	if m == nil {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		of := kind
-		if of == "" {
-			of = kindOf(r.URL.Path)
+		callKind := kind
+		if callKind == "" {
+			callKind = kindOf(r.URL.Path)
 		}
-		c := m.of(servedPrefix + of)
+		c := m.countersFor(servedPrefix + callKind)
 		c.calls.Inc(1)
-		if on, ok := r.Context().Value(connKey{}).(*conn); ok {
-			// An answer leaves its connection after its handler has returned, so that what
-			// was sent until now belongs to the call before.
-			on.settle(on.kind.Load(), c)
-			on.kind.Store(c)
+		if cc, ok := r.Context().Value(connKey{}).(*conn); ok {
+			// A response may be written to its connection after its handler has returned:
+			// bytes sent until now belong to the previous call.
+			cc.flush(cc.kind.Load(), c)
+			cc.kind.Store(c)
 		}
 		next.ServeHTTP(w, r)
 	})
