--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -9,47 +9,47 @@
 	"github.com/fireflyfold/fireflyfold/platform/fakeplatform"
 )
 
-// runID is one run of a task, by the names that workers see.
+// runID identifies one run of a task by the name and number that workers see.
 type runID struct {
 	task string
 	run  int
 }
 
-// stepSent is one step of a job; each step depends on the one before.
-type stepSent struct {
+// stepSpec is one step of a submitted job; each step depends on the previous one.
+type stepSpec struct {
 	tasks int
 	gang  bool
 }
 
-// audit checks the promises about tasks from what workers see, while a soak runs.
+// audit checks guarantees about the execution of tasks from worker events during a run.
 type audit struct {
-	mu        sync.Mutex
-	specs     map[string]string // of every job that a caller ever sent, by id
-	steps     map[string][]stepSent
-	alive     map[string]map[string]int
-	ended     map[string]bool    // by task: it has ended as done, which is enough for those that depend on it
-	done      map[string][]runID // by task: ends as done that bind unless they are forgotten
-	noted     map[string]bool    // by task: its end as done was taken note of
-	again     map[runID]bool     // by end as done that was not noted yet: its task was started after it
-	forgotten map[runID]bool
-	started   map[string]bool // by job
-	broken    []string
+	mu          sync.Mutex
+	specs       map[string]string // of every job that a caller submitted, by id
+	steps       map[string][]stepSpec
+	running     map[string]map[string]int // run numbers by task and worker
+	succeeded   map[string]bool           // by task: a run has succeeded, which is enough for dependent tasks
+	completions map[string][]runID        // by task: completions that are binding unless discarded
+	acked       map[string]bool           // by task: a completion was acknowledged
+	restarted   map[runID]bool            // by completion not yet acknowledged: its task was started after it
+	discarded   map[runID]bool            // completions that a worker discarded before an acknowledgement
+	started     map[string]bool           // by job
+	found       []string
 }
 
 func newAudit() *audit {
 	return &audit{
-		specs: make(map[string]string), steps: make(map[string][]stepSent), alive: make(map[string]map[string]int),
-		ended: make(map[string]bool), done: make(map[string][]runID), noted: make(map[string]bool), again: make(map[runID]bool),
-		forgotten: make(map[runID]bool), started: make(map[string]bool),
+		specs: make(map[string]string), steps: make(map[string][]stepSpec), running: make(map[string]map[string]int),
+		succeeded: make(map[string]bool), completions: make(map[string][]runID), acked: make(map[string]bool), restarted: make(map[runID]bool),
+		discarded: make(map[runID]bool), started: make(map[string]bool),
 	}
 }
 
-func (a *audit) breach(format string, args ...any) {
-	a.broken = append(a.broken, fmt.Sprintf(format, args...))
+func (a *audit) violation(format string, args ...any) {
+	a.found = append(a.found, fmt.Sprintf(format, args...))
 }
 
-// sent notes a job before its first submission.
-func (a *audit) sent(id, spec string, steps []stepSent) {
+// recordJob records a job before its first submission.
+func (a *audit) recordJob(id, spec string, steps []stepSpec) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.specs[id], a.steps[id] = spec, steps
@@ -62,92 +62,92 @@
 	return a.started[id]
 }
 
-func (a *audit) breaches() []string {
+func (a *audit) violations() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]string(nil), a.broken...)
+	return append([]string(nil), a.found...)
 }
 
-// see takes in what a worker saw.
-func (a *audit) see(e fakeplatform.WorkerSaw) {
+// observe handles a worker event.
+func (a *audit) observe(e fakeplatform.WorkerSaw) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := runID{e.Task, e.Run}
 	switch e.What {
 	case fakeplatform.RunStarted:
-		a.start(e)
+		a.startRun(e)
 	case fakeplatform.RunDone:
-		delete(a.alive[e.Task], e.Worker)
-		a.ended[e.Task] = true
-		a.done[e.Task] = append(a.done[e.Task], id)
+		delete(a.running[e.Task], e.Worker)
+		a.succeeded[e.Task] = true
+		a.completions[e.Task] = append(a.completions[e.Task], id)
 	case fakeplatform.RunOver:
-		delete(a.alive[e.Task], e.Worker)
+		delete(a.running[e.Task], e.Worker)
 	case fakeplatform.EndForgot:
-		a.forgotten[id] = true
-		a.done[e.Task] = slices.DeleteFunc(a.done[e.Task], func(done runID) bool { return done == id })
+		a.discarded[id] = true
+		a.completions[e.Task] = slices.DeleteFunc(a.completions[e.Task], func(done runID) bool { return done == id })
 	case fakeplatform.EndNoted:
-		a.note(id)
+		a.acknowledge(id)
 	}
 }
 
-func (a *audit) start(e fakeplatform.WorkerSaw) {
+func (a *audit) startRun(e fakeplatform.WorkerSaw) {
 	job, step, ok := splitTask(e.Task)
 	spec, known := a.specs[job]
 	switch {
 	case !ok || !known:
-		a.breach("a task of no job that was sent: %s", e.Task)
+		a.violation("task %s belongs to no submitted job", e.Task)
 		return
 	case spec != e.Spec:
-		a.breach("task %s with the spec %q, sent was %q", e.Task, e.Spec, spec)
+		a.violation("task %s started with spec %q, submitted was %q", e.Task, e.Spec, spec)
 	}
 	a.started[job] = true
-	for other, run := range a.alive[e.Task] {
-		a.breach("task %s run %d on %s while run %d is alive on %s", e.Task, e.Run, e.Worker, run, other)
+	for other, run := range a.running[e.Task] {
+		a.violation("task %s run %d started on %s while run %d is running on %s", e.Task, e.Run, e.Worker, run, other)
 	}
-	if a.noted[e.Task] {
-		a.breach("task %s run %d on %s after it was done", e.Task, e.Run, e.Worker)
+	if a.acked[e.Task] {
+		a.violation("task %s run %d started on %s after an acknowledged completion", e.Task, e.Run, e.Worker)
 	}
-	for _, done := range a.done[e.Task] {
-		a.again[done] = true
+	for _, done := range a.completions[e.Task] {
+		a.restarted[done] = true
 	}
-	for before := range step {
-		if !a.stepDone(job, before) {
-			a.breach("task %s before step %d was done", e.Task, before)
+	for earlier := range step {
+		if !a.stepDone(job, earlier) {
+			a.violation("task %s started before step %d was complete", e.Task, earlier)
 		}
 	}
-	if a.alive[e.Task] == nil {
-		a.alive[e.Task] = make(map[string]int)
+	if a.running[e.Task] == nil {
+		a.running[e.Task] = make(map[string]int)
 	}
-	a.alive[e.Task][e.Worker] = e.Run
+	a.running[e.Task][e.Worker] = e.Run
 }
 
-// stepDone reports whether every task of a step has ended as done; of a gang, one
-// end stands for all.
+// stepDone reports whether every task of a step has succeeded; in a gang, one success
+// counts for all tasks.
 func (a *audit) stepDone(job string, step int) bool {
 	s := a.steps[job][step]
 	n := 0
 	for i := range s.tasks {
-		if a.ended[fmt.Sprintf("%s.0.%d.%d", job, step, i)] {
+		if a.succeeded[fmt.Sprintf("%s.0.%d.%d", job, step, i)] {
 			n++
 		}
 	}
 	return n == s.tasks || s.gang && n > 0
 }
 
-// note binds an end as done: nobody may have started the task since that end, or may
-// later.
-func (a *audit) note(id runID) {
-	if a.forgotten[id] || !slices.Contains(a.done[id.task], id) {
+// acknowledge makes a completion binding: the task must not have been started since it, and
+// must not be started later.
+func (a *audit) acknowledge(id runID) {
+	if a.discarded[id] || !slices.Contains(a.completions[id.task], id) {
 		return
 	}
-	a.noted[id.task] = true
-	if a.again[id] {
-		a.breach("task %s was started again after an end as done of run %d that was then taken note of", id.task, id.run)
+	a.acked[id.task] = true
+	if a.restarted[id] {
+		a.violation("task %s was started again after the completion of run %d, which was acknowledged later", id.task, id.run)
 	}
 }
 
-// splitTask takes job and step from a task's name, which also has occurrence and
-// index.
+// splitTask returns the job and the step of a task's name, which has the form
+// job.occurrence.step.index.
 func splitTask(name string) (job string, step int, ok bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -7,56 +7,56 @@
 	"github.com/fireflyfold/fireflyfold/platform/fakeplatform"
 )
 
-// The soak was red (TestSoakOfLives, seed 220) over what is allowed. A task was done on
-// a worker that had been cut off, its lease ended, the task ran elsewhere, and that
-// second end was taken note of:
+// Guards against a false violation (TestSoakWithWorkerRestarts, seed 220). A task completed
+// on a partitioned worker, its lease expired, the task ran elsewhere, and that second
+// completion was acknowledged:
 //
-//	28:59 i-0  run 1 begins, and is done behind the cut
+//	28:59 i-0  run 1 starts, and completes behind the partition
 //	29:03 run lost  run 1  its lease is over
-//	29:03 assigned  i-2, where run 2 is done and taken note of
-//	      "started again after an end as done of run 2 that was then taken note of"
+//	29:03 assigned  i-2, where run 2 completes and is acknowledged
+//	      "started again after the completion of run 2, which was acknowledged later"
 //
-// The worker told of its lapse only when it was called again, and the audit remembered
-// that a task had been started after an end, not after which. It also forgot the first
-// end over the second, so that it missed the opposite case.
-func TestAuditTellsEndsApart(t *testing.T) {
+// The worker reported its expired lease only on the next call, and the audit recorded that a
+// task had been started after some completion, not after which. It also replaced the first
+// completion by the second and so missed the opposite case.
+func TestAuditAttributesCompletionsToRuns(t *testing.T) {
 	const task = "00000000000000aa.0.0.0"
-	saw := func(what fakeplatform.WorkerEvent, worker string, run int) fakeplatform.WorkerSaw {
+	event := func(what fakeplatform.WorkerEvent, worker string, run int) fakeplatform.WorkerSaw {
 		return fakeplatform.WorkerSaw{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
 	}
-	twice := []fakeplatform.WorkerSaw{
-		saw(fakeplatform.RunStarted, "i-0", 1), saw(fakeplatform.RunDone, "i-0", 1),
-		saw(fakeplatform.RunStarted, "i-2", 2), saw(fakeplatform.RunDone, "i-2", 2),
+	ranTwice := []fakeplatform.WorkerSaw{
+		event(fakeplatform.RunStarted, "i-0", 1), event(fakeplatform.RunDone, "i-0", 1),
+		event(fakeplatform.RunStarted, "i-2", 2), event(fakeplatform.RunDone, "i-2", 2),
 	}
 	for name, c := range map[string]struct {
 		then []fakeplatform.WorkerSaw
-		want string // in the only breach; empty for none
+		want string // in the only violation; empty for none
 	}{
-		"the second end is noted, the first forgotten": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndForgot, "i-0", 1)},
+		"second completion acknowledged, first discarded": {
+			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.EndForgot, "i-0", 1)},
 		},
-		"the first end is noted": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-0", 1)},
-			want: "after an end as done of run 1",
+		"first completion acknowledged": {
+			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-0", 1)},
+			want: "after the completion of run 1",
 		},
-		"both ends are noted": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.EndNoted, "i-0", 1)},
-			want: "after an end as done of run 1",
+		"both completions acknowledged": {
+			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.EndNoted, "i-0", 1)},
+			want: "after the completion of run 1",
 		},
-		"a run begins after a noted end": {
-			then: []fakeplatform.WorkerSaw{saw(fakeplatform.EndNoted, "i-2", 2), saw(fakeplatform.RunStarted, "i-1", 3)},
-			want: "run 3 on i-1 after it was done",
+		"run starts after an acknowledged completion": {
+			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.RunStarted, "i-1", 3)},
+			want: "run 3 started on i-1 after an acknowledged completion",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newAudit()
-			a.sent("00000000000000aa", "spec", []stepSent{{tasks: 1}})
-			for _, e := range append(twice[:len(twice):len(twice)], c.then...) {
-				a.see(e)
+			a.recordJob("00000000000000aa", "spec", []stepSpec{{tasks: 1}})
+			for _, e := range append(ranTwice[:len(ranTwice):len(ranTwice)], c.then...) {
+				a.observe(e)
 			}
-			got := strings.Join(a.breaches(), "; ")
+			got := strings.Join(a.violations(), "; ")
 			if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
-				t.Errorf("breaches %q, want %q", got, c.want)
+				t.Errorf("violations %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak plays random faults against real host processes and checks what
-// callers and workers see. Its code is in its tests; docs/SOAK.md tells how to run
-// it and what it found.
+// Package soak injects random faults into real host processes and checks what callers
+// and workers observe. All its code is in tests; docs/SOAK.md describes how to run it and
+// what it has found.
 package soak
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// fault is something that is done to the fleet from outside for a while.
+// fault is a fault that is injected into the fleet, in most cases for a limited time.
 type fault struct {
 	name string
-	// do causes it; what it returns, if anything, ends it.
-	do func(f *fleet, host, worker int) func()
+	// inject causes it; what it returns, if anything, ends it.
+	inject func(f *fleet, host, worker int) func()
 }
 
-// faults may come at any moment, several at once and on the same host.
+// faults may start at any moment, several at once and on the same host.
 var faults = []fault{
 	{"kill", func(f *fleet, h, _ int) func() {
 		f.hosts[h].restart(f.t, syscall.SIGKILL, 0)
@@ -30,7 +30,7 @@
 		group.Wait()
 		return nil
 	}},
-	{"stop as planned", func(f *fleet, h, _ int) func() {
+	{"graceful stop", func(f *fleet, h, _ int) func() {
 		f.hosts[h].restart(f.t, syscall.SIGTERM, 0)
 		return nil
 	}},
@@ -43,99 +43,99 @@
 		return nil
 	}},
 	{"configuration", func(f *fleet, _, _ int) func() {
-		f.configure()
+		f.writeConfig()
 		return nil
 	}},
-	{"log silent", withProxy(func(f *fleet, h, _ int) *proxy { return f.hosts[h].log }, silent)},
-	{"log one way", withProxy(func(f *fleet, h, _ int) *proxy { return f.hosts[h].log }, oneWay)},
-	{"log slow", withProxy(func(f *fleet, h, _ int) *proxy { return f.hosts[h].log }, slow)},
-	{"log reset", func(f *fleet, h, _ int) func() {
-		f.hosts[h].log.reset()
+	{"log unreachable", setProxyMode(func(f *fleet, h, _ int) *proxy { return f.hosts[h].logProxy }, holdAll)},
+	{"log responses held", setProxyMode(func(f *fleet, h, _ int) *proxy { return f.hosts[h].logProxy }, holdResponses)},
+	{"log delayed", setProxyMode(func(f *fleet, h, _ int) *proxy { return f.hosts[h].logProxy }, delayAll)},
+	{"log connections reset", func(f *fleet, h, _ int) func() {
+		f.hosts[h].logProxy.reset()
 		return nil
 	}},
 	{"log refuses", func(f *fleet, h, _ int) func() {
 		f.hosts[h].door.Refuse(true)
 		return func() { f.hosts[h].door.Refuse(false) }
 	}},
-	{"log loses answers", func(f *fleet, h, _ int) func() {
+	{"log responses lost", func(f *fleet, h, _ int) func() {
 		f.hosts[h].door.LoseAnswers(5)
 		return nil
 	}},
-	{"partition down", func(f *fleet, h, _ int) func() {
+	{"log partition down", func(f *fleet, h, _ int) func() {
 		topic := []string{"intake", "entries"}[h%2]
 		f.store.Break(topic, h%3, true)
 		return func() { f.store.Break(topic, h%3, false) }
 	}},
-	{"worker silent", withProxy(func(f *fleet, _, w int) *proxy { return f.way(w) }, silent)},
-	{"worker one way", withProxy(func(f *fleet, _, w int) *proxy { return f.way(w) }, oneWay)},
-	{"worker reset", func(f *fleet, _, w int) func() {
-		f.way(w).reset()
+	{"worker unreachable", setProxyMode(func(f *fleet, _, w int) *proxy { return f.workerProxy(w) }, holdAll)},
+	{"worker responses held", setProxyMode(func(f *fleet, _, w int) *proxy { return f.workerProxy(w) }, holdResponses)},
+	{"worker connections reset", func(f *fleet, _, w int) func() {
+		f.workerProxy(w).reset()
 		return nil
 	}},
-	{"worker gone", func(f *fleet, _, w int) func() {
+	{"worker replaced", func(f *fleet, _, w int) func() {
 		f.replaceWorker(w)
 		return nil
 	}},
-	{"callers slow", withProxy(func(f *fleet, h, _ int) *proxy { return f.hosts[h].front }, slow)},
-	{"callers reset", func(f *fleet, h, _ int) func() {
-		f.hosts[h].front.reset()
+	{"callers delayed", setProxyMode(func(f *fleet, h, _ int) *proxy { return f.hosts[h].frontProxy }, delayAll)},
+	{"caller connections reset", func(f *fleet, h, _ int) func() {
+		f.hosts[h].frontProxy.reset()
 		return nil
 	}},
 }
 
-// rebirth is a worker that crashes and is back at once under its id and address. It
-// comes in a list of its own, as the order of faults that belongs to a seed follows
-// from the list.
-var rebirth = fault{"worker born again", func(f *fleet, _, w int) func() {
-	f.rebirth(w)
+// workerRestart crashes a worker, which is back at once under the same id and address. It is
+// not in faults because the fault sequence of a seed depends on the list.
+var workerRestart = fault{"worker restart", func(f *fleet, _, w int) func() {
+	f.restartWorker(w)
 	return nil
 }}
 
-// lateOrders is a worker that leaves calls unanswered and carries them out 2 to 5 s
-// later, after newer ones.
-var lateOrders = fault{"worker late", func(f *fleet, h, w int) func() {
-	late := f.worker(w)
-	late.Late(time.Duration(2+h%4) * time.Second)
-	return func() { late.Late(0) }
+// lateExecution makes a worker leave calls unanswered and execute them 2 to 5 s later,
+// after newer ones.
+var lateExecution = fault{"worker executes late", func(f *fleet, h, w int) func() {
+	worker := f.worker(w)
+	worker.Late(time.Duration(2+h%4) * time.Second)
+	return func() { worker.Late(0) }
 }}
 
-// outlivingOrders is the same with calls that outlive the life that they are for.
-var outlivingOrders = fault{"worker late, in any life", func(f *fleet, h, w int) func() {
+// lateExecutionAcrossRestarts is the same with calls that are executed even if the
+// incarnation that they were sent to has ended.
+var lateExecutionAcrossRestarts = fault{"worker executes late, across restarts", func(f *fleet, h, w int) func() {
 	f.worker(w).Outlive()
-	return lateOrders.do(f, h, w)
+	return lateExecution.inject(f, h, w)
 }}
 
-func withProxy(of func(*fleet, int, int) *proxy, m mode) func(*fleet, int, int) func() {
+func setProxyMode(of func(*fleet, int, int) *proxy, m mode) func(*fleet, int, int) func() {
 	return func(f *fleet, h, w int) func() {
 		p := of(f, h, w)
-		p.set(m)
-		return func() { p.set(passing) }
+		p.setMode(m)
+		return func() { p.setMode(forwardAll) }
 	}
 }
 
-// trouble causes random faults of a list until ctx ends, and ends them all. It returns
+// injectFaults causes random faults of a list until ctx ends, and ends them all. It returns
 // what it did.
-func trouble(ctx context.Context, f *fleet, faults []fault, rng *rand.Rand) []string {
+func injectFaults(ctx context.Context, f *fleet, faults []fault, rng *rand.Rand) []string {
 	var (
-		group sync.WaitGroup
-		did   []string
-		began = time.Now()
+		group   sync.WaitGroup
+		history []string
+		start   = time.Now()
 	)
 	for ctx.Err() == nil {
-		one := faults[rng.IntN(len(faults))]
+		chosen := faults[rng.IntN(len(faults))]
 		h, w := rng.IntN(*hosts), rng.IntN(*workers)
-		lasts := time.Duration(200+rng.IntN(4000)) * time.Millisecond
-		did = append(did, fmt.Sprintf("%v %s host %d worker %d for %v", time.Since(began).Round(time.Millisecond), one.name, h, w, lasts))
+		duration := time.Duration(200+rng.IntN(4000)) * time.Millisecond
+		history = append(history, fmt.Sprintf("%v %s host %d worker %d for %v", time.Since(start).Round(time.Millisecond), chosen.name, h, w, duration))
 		group.Go(func() {
-			end := one.do(f, h, w)
-			if end == nil {
+			stop := chosen.inject(f, h, w)
+			if stop == nil {
 				return
 			}
 			select {
-			case <-time.After(lasts):
+			case <-time.After(duration):
 			case <-ctx.Done():
 			}
-			end()
+			stop()
 		})
 		select {
 		case <-time.After(time.Duration(100+rng.IntN(1200)) * time.Millisecond):
@@ -143,5 +143,5 @@
 		}
 	}
 	group.Wait()
-	return did
+	return history
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// lease is the longest lease of a worker: short, so that cuts outlast it.
-	lease = 3 * time.Second
-	// runTime is how long a task takes.
+	// maxLease is the longest lease of a worker: short enough for partitions to outlast it.
+	maxLease = 3 * time.Second
+	// runTime is how long a task runs.
 	runTime = 150 * time.Millisecond
-	// grace is how long a host has from SIGTERM to SIGKILL.
-	grace = 4 * time.Second
+	// gracePeriod is how long a host may take to exit before it gets SIGKILL.
+	gracePeriod = 4 * time.Second
 )
 
-const config = `{"version":%d,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/p/","service":"svc","priority":1,
+const configTemplate = `{"version":%d,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/p/","service":"svc","priority":1,
 "maxAttempts":3,"stretch":2,"targetLatencyMs":1000}],"services":[{"name":"svc"}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
 "tenants":[{"name":"ws","weight":1000,"apiKeys":["k1"]}]}`
 
-// fleet is a store and workers in this process, and hosts in processes of their own.
+// fleet is a fake log store and fake workers in this process, and hosts as child processes.
 type fleet struct {
 	t     *testing.T
 	store *fakeplatform.Store
 	audit *audit
 	hosts []*host
 
-	mu      sync.Mutex
-	workers []*worker
-	named   int // workers so far
-	version int // of the configuration
+	mu             sync.Mutex
+	workers        []*worker
+	workersCreated int // workers created so far, for their ids
+	configVersion  int // of the last configuration written
 }
 
-// host is one entry host: its name stays, its processes come and go.
+// host is an entry host, which keeps its name when its process is restarted.
 type host struct {
-	name, program, settings, logs string
-	front                         *proxy // callers use it
-	log                           *proxy // its way to the log
-	door                          *fakeplatform.Door
+	name, program, settings, logFile string
+	frontProxy                       *proxy // callers connect through it
+	logProxy                         *proxy // the host reaches the log through it
+	door                             *fakeplatform.Door
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
-	ended chan struct{} // of cmd
+	ended chan struct{} // closed when cmd has exited
 }
 
-// worker is a worker and the hosts' way to it.
+// worker is a worker and the proxy through which hosts reach it.
 type worker struct {
 	*fakeplatform.Worker
-	way *proxy
+	proxy *proxy
 }
 
 func newFleet(t *testing.T, program string) *fleet {
 	f := &fleet{t: t, store: fakeplatform.NewStore(), audit: newAudit()}
-	f.configure()
+	f.writeConfig()
 	for range *workers {
 		f.addWorker()
 	}
@@ -71,27 +71,27 @@
 	return f
 }
 
-// configure writes the next version.
-func (f *fleet) configure() {
+// writeConfig writes the next version of the configuration.
+func (f *fleet) writeConfig() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.version++
-	f.store.Put("keyed.op", "config", fmt.Appendf(nil, config, f.version))
+	f.configVersion++
+	f.store.Put("keyed.op", "config", fmt.Appendf(nil, configTemplate, f.configVersion))
 }
 
 func (f *fleet) addWorker() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := fakeplatform.NewUnlistedWorker(f.store, fmt.Sprintf("i-%d", f.named), runTime)
-	f.named++
-	w.MaxLease, w.Observer = lease, f.audit.see
-	way := newProxy(f.t, w.Address())
-	w.List(way.address())
-	f.workers = append(f.workers, &worker{w, way})
+	w := fakeplatform.NewUnlistedWorker(f.store, fmt.Sprintf("i-%d", f.workersCreated), runTime)
+	f.workersCreated++
+	w.MaxLease, w.Observer = maxLease, f.audit.observe
+	p := newProxy(f.t, w.Address())
+	w.List(p.address())
+	f.workers = append(f.workers, &worker{w, p})
 	f.t.Cleanup(w.Close)
 }
 
-// replaceWorker crashes a worker for good; another one comes.
+// replaceWorker crashes a worker permanently and adds another one.
 func (f *fleet) replaceWorker(i int) {
 	f.mu.Lock()
 	w := f.workers[i%len(f.workers)]
@@ -101,30 +101,30 @@
 	f.addWorker()
 }
 
-// rebirth ends a worker's life and begins the next one at the same address.
-func (f *fleet) rebirth(i int) { f.worker(i).Restart() }
+// restartWorker restarts a worker; the next incarnation has the same id and address.
+func (f *fleet) restartWorker(i int) { f.worker(i).Restart() }
 
-// worker returns one of the workers there are.
+// worker returns one of the present workers: the one at i modulo their number.
 func (f *fleet) worker(i int) *worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[i%len(f.workers)]
 }
 
-// workerOf returns the worker with that id.
-func (f *fleet) workerOf(id string) *worker {
+// workerByID returns the worker with that id, which must exist.
+func (f *fleet) workerByID(id string) *worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[slices.IndexFunc(f.workers, func(w *worker) bool { return w.ID == id })]
 }
 
-// way returns the hosts' way to a worker.
-func (f *fleet) way(i int) *proxy { return f.worker(i).way }
+// workerProxy returns the proxy through which hosts reach a worker.
+func (f *fleet) workerProxy(i int) *proxy { return f.worker(i).proxy }
 
 func (f *fleet) addHost(program, name string) {
 	t := f.t
 	h := &host{name: name, program: program, door: f.store.Door()}
-	h.log = newProxy(t, h.door.Address())
+	h.logProxy = newProxy(t, h.door.Address())
 	address := func() string {
 		a, err := fakeplatform.FreeAddress()
 		if err != nil {
@@ -133,12 +133,12 @@
 		return a
 	}
 	front := address()
-	h.front = newProxy(t, front)
+	h.frontProxy = newProxy(t, front)
 	h.settings = filepath.Join(t.TempDir(), "settings")
-	h.logs = filepath.Join(filepath.Dir(h.settings), "log")
+	h.logFile = filepath.Join(filepath.Dir(h.settings), "log")
 	text := fmt.Sprintf("node=%s\nip=127.0.0.1\nzone=z1\nlisten.front=%s\nlisten.ready=%s\nlisten.control=%s\nplatform.address=%s\n"+
 		"bounds.holdMaxMs=%d\nbounds.strictRevocation=true\nbounds.graceS=%d\nlimits.memoryMb=256\n",
-		name, front, address(), address(), h.log.address(), lease.Milliseconds(), int(grace.Seconds()))
+		name, front, address(), address(), h.logProxy.address(), maxLease.Milliseconds(), int(gracePeriod.Seconds()))
 	if err := os.WriteFile(h.settings, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -155,8 +155,8 @@
 	})
 }
 
-// start starts a process of the host, unless one runs: of two restarts at once the
-// first has started it.
+// start starts a process of the host, unless one is running: of two concurrent restarts,
+// the first has started it.
 func (h *host) start(t *testing.T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	out, err := os.OpenFile(h.logs, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(h.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		t.Error(err)
 		return
@@ -180,14 +180,14 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // most processes end by a signal of the soak's
+		_ = cmd.Wait() // most processes are ended by a signal from this test
 		_ = out.Close()
 		close(ended)
 	}()
 	h.cmd, h.ended = cmd, ended
 }
 
-// signal sends a signal to the host's process, which may have ended.
+// signal sends a signal to the host's process, unless it has exited.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -195,24 +195,25 @@
 		return
 	}
 	select {
-	case <-h.ended: // its id may be another process's by now
+	case <-h.ended: // its pid may have been reused
 	default:
-		_ = h.cmd.Process.Signal(s) // it may end in this moment
+		_ = h.cmd.Process.Signal(s) // it may exit at this moment
 	}
 }
 
-// restart ends the host's process with a signal and starts it anew after a pause.
-func (h *host) restart(t *testing.T, with syscall.Signal, pause time.Duration) {
-	h.signal(with)
+// restart ends the host's process with a signal and starts the next one after delay. It
+// kills a process that has not exited within gracePeriod.
+func (h *host) restart(t *testing.T, sig syscall.Signal, delay time.Duration) {
+	h.signal(sig)
 	h.mu.Lock()
 	ended := h.ended
 	h.mu.Unlock()
 	select {
 	case <-ended:
-	case <-time.After(grace):
+	case <-time.After(gracePeriod):
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
 	}
-	time.Sleep(pause)
+	time.Sleep(delay)
 	h.start(t)
 }
--- a/soak/lapse_test.go
+++ b/soak/lapse_test.go
@@ -9,81 +9,81 @@
 )
 
 const (
-	lapseJob  = "00000000000000aa"
-	lapseTask = lapseJob + ".0.0.0"
+	expiryJob  = "00000000000000aa"
+	expiryTask = expiryJob + ".0.0.0"
 )
 
-// lapseWatch cuts off the worker that begins the task first, in that very moment, and
-// remembers what becomes of it.
-type lapseWatch struct {
+// expiryObserver partitions the first worker that starts the task, at the moment of the start,
+// and records what becomes of that run.
+type expiryObserver struct {
 	fleet *fleet
 
-	mu     sync.Mutex
-	cut    *worker // nil before the first start
-	starts int
-	noted  bool // the end of the first run was taken note of
+	mu       sync.Mutex
+	isolated *worker // nil before the first start
+	starts   int
+	acked    bool // the completion of the first run was acknowledged
 }
 
-// see takes in what a worker saw; the worker is locked meanwhile.
-func (l *lapseWatch) see(e fakeplatform.WorkerSaw) {
-	l.fleet.audit.see(e)
+// observe handles a worker event; the worker is locked meanwhile.
+func (l *expiryObserver) observe(e fakeplatform.WorkerSaw) {
+	l.fleet.audit.observe(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case e.Task != lapseTask:
+	case e.Task != expiryTask:
 	case e.What == fakeplatform.RunStarted:
 		l.starts++
-		if l.cut == nil {
-			l.cut = l.fleet.workerOf(e.Worker)
-			l.cut.way.set(silent)
+		if l.isolated == nil {
+			l.isolated = l.fleet.workerByID(e.Worker)
+			l.isolated.proxy.setMode(holdAll)
 		}
-	case e.What == fakeplatform.EndNoted && e.Worker == l.cut.ID && e.Run == 1:
-		l.noted = true
+	case e.What == fakeplatform.EndNoted && e.Worker == l.isolated.ID && e.Run == 1:
+		l.acked = true
 	}
 }
 
-func (l *lapseWatch) runsElsewhere() bool {
+func (l *expiryObserver) startedAgain() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.starts >= 2
 }
 
-func (l *lapseWatch) firstEndNoted() bool {
+func (l *expiryObserver) firstCompletionAcked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.noted
+	return l.acked
 }
 
-// The soak was red once (seed 101): tasks "started again after an end as done that was
-// then taken note of". What it saw is allowed, and this forces it: a worker begins a
-// task, is out of reach from that moment on, and the task is done there with nothing
-// beside it. Its lease ends, so that the leader has the task run elsewhere. When the
-// worker is back, the leader reads the first end and takes note of it.
+// Guards against a false violation (TestSoak, seed 101): tasks "started again after the
+// completion of" a run "which was acknowledged later". The test forces the sequence: a worker
+// starts a task, is unreachable from that moment on, and completes the task with nothing else
+// running. Its lease expires, and the leader has the task run elsewhere. When the worker is
+// reachable again, the leader reads the first completion and acknowledges it.
 //
-// An end binds unless the lease lapsed before it was taken note of. The stand-in of a
-// worker told of such a lapse only if something still ran under it, and the audit took
-// the second run for a breach: with that stand-in this is red in each play.
-func TestEndThatALapseFreed(t *testing.T) {
-	f := newFleet(t, build(t))
-	watch := &lapseWatch{fleet: f}
+// A completion is binding unless the lease expired before the acknowledgement. The fake worker
+// reported such an expiry only if something was still running under the lease, and the audit
+// took the second run for a violation: with that fake worker this test fails in each run.
+func TestLeaseExpiryReleasesUnackedCompletion(t *testing.T) {
+	f := newFleet(t, buildProgram(t))
+	observer := &expiryObserver{fleet: f}
 	for _, w := range f.workers {
-		w.Observer = watch.see
+		w.Observer = observer.observe
 	}
-	steps := []stepSent{{tasks: 1}}
-	f.audit.sent(lapseJob, "spec", steps)
+	steps := []stepSpec{{tasks: 1}}
+	f.audit.recordJob(expiryJob, "spec", steps)
 	c := newCallers(f)
-	until(t, settle, func() bool {
-		status, _ := c.call(0, http.MethodPost, lapseJob, jobBody("spec", steps))
+	waitFor(t, recoveryTimeout, func() bool {
+		status, _ := c.call(0, http.MethodPost, expiryJob, jobBody("spec", steps))
 		return status == http.StatusOK
 	}, "the job is accepted")
-	until(t, settle, watch.runsElsewhere, "the task runs elsewhere")
+	waitFor(t, recoveryTimeout, observer.startedAgain, "the task is started again")
 	if t.Failed() {
 		return
 	}
-	watch.cut.way.set(passing)
-	until(t, settle, watch.firstEndNoted, "the end of the first run is taken note of")
-	until(t, settle, func() bool { return c.completed(lapseJob) }, "the job is completed")
-	for _, b := range f.audit.breaches() {
+	observer.isolated.proxy.setMode(forwardAll)
+	waitFor(t, recoveryTimeout, observer.firstCompletionAcked, "the completion of the first run is acknowledged")
+	waitFor(t, recoveryTimeout, func() bool { return c.completed(expiryJob) }, "the job is completed")
+	for _, b := range f.audit.violations() {
 		t.Error(b)
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// mode is what a proxy does with the bytes that pass.
+// mode is how a proxy treats the bytes that it forwards.
 type mode int32
 
 const (
-	passing mode = iota
-	silent       // nothing passes, and no connection ends
-	oneWay       // nothing passes back to the caller
-	slow         // every piece is held up by slowBy
+	forwardAll    mode = iota
+	holdAll            // nothing is forwarded, and connections stay open
+	holdResponses      // nothing is forwarded to the caller
+	delayAll           // the bytes of each read are delayed by readDelay
 )
 
-// slowBy is longer than a usual answer and shorter than most time limits.
-const slowBy = 60 * time.Millisecond
+// readDelay is longer than a usual response takes and shorter than most timeouts.
+const readDelay = 60 * time.Millisecond
 
-// held is how often bytes that are held up look whether they may pass.
-const held = 5 * time.Millisecond
+// holdPollInterval is the interval at which held bytes are checked against the mode.
+const holdPollInterval = 5 * time.Millisecond
 
-// proxy stands between a caller and an address on loopback.
+// proxy forwards TCP connections from a loopback address to target.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -51,14 +51,14 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) { p.mode.Store(int32(m)) }
+func (p *proxy) setMode(m mode) { p.mode.Store(int32(m)) }
 
-// reset resets every connection that is open.
+// reset resets all open connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		_ = c.(*net.TCPConn).SetLinger(0) // so that it is reset, not closed
+		_ = c.(*net.TCPConn).SetLinger(0) // close with RST instead of FIN
 		_ = c.Close()
 	}
 	p.conns = make(map[net.Conn]bool)
@@ -70,13 +70,13 @@
 		if err != nil {
 			return
 		}
-		go p.join(in)
+		go p.serve(in)
 	}
 }
 
-func (p *proxy) join(in net.Conn) {
-	for mode(p.mode.Load()) == silent {
-		time.Sleep(held)
+func (p *proxy) serve(in net.Conn) {
+	for mode(p.mode.Load()) == holdAll {
+		time.Sleep(holdPollInterval)
 	}
 	out, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -86,17 +86,17 @@
 	p.mu.Lock()
 	p.conns[in], p.conns[out] = true, true
 	p.mu.Unlock()
-	go p.pump(out, in, false)
-	p.pump(in, out, true)
+	go p.forward(out, in, false)
+	p.forward(in, out, true)
 }
 
-// pump copies one direction until either side ends.
-func (p *proxy) pump(to, from net.Conn, back bool) {
-	defer p.forget(to, from)
+// forward copies one direction until either side closes.
+func (p *proxy) forward(to, from net.Conn, responses bool) {
+	defer p.closePair(to, from)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		p.holdUp(back)
+		p.waitToForward(responses)
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
@@ -108,20 +108,20 @@
 	}
 }
 
-func (p *proxy) holdUp(back bool) {
-	if mode(p.mode.Load()) == slow {
-		time.Sleep(slowBy)
+func (p *proxy) waitToForward(responses bool) {
+	if mode(p.mode.Load()) == delayAll {
+		time.Sleep(readDelay)
 	}
 	for {
 		m := mode(p.mode.Load())
-		if m != silent && (m != oneWay || !back) {
+		if m != holdAll && (m != holdResponses || !responses) {
 			return
 		}
-		time.Sleep(held)
+		time.Sleep(holdPollInterval)
 	}
 }
 
-func (p *proxy) forget(a, b net.Conn) {
+func (p *proxy) closePair(a, b net.Conn) {
 	_, _ = a.Close(), b.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,107 +15,108 @@
 )
 
 var (
-	seeds   = flag.Int("soak.seeds", 2, "how many seeds to play")
-	first   = flag.Uint64("soak.first", 1, "the first seed")
-	span    = flag.Duration("soak.for", 8*time.Second, "how long faults come in each")
-	logs    = flag.String("soak.logs", "", "folder to keep the logs of a seed that failed")
-	hosts   = flag.Int("soak.hosts", 4, "how many hosts; another number changes the course of a seed")
-	workers = flag.Int("soak.workers", 4, "how many workers; likewise")
+	seeds       = flag.Int("soak.seeds", 2, "number of seeds to run")
+	firstSeed   = flag.Uint64("soak.first", 1, "first seed")
+	faultPeriod = flag.Duration("soak.for", 8*time.Second, "how long faults are injected in each seed")
+	logDir      = flag.String("soak.logs", "", "folder to which the host logs of a failed seed are copied")
+	hosts       = flag.Int("soak.hosts", 4, "number of hosts; another number changes the fault sequence of a seed")
+	workers     = flag.Int("soak.workers", 4, "number of workers; likewise")
 )
 
-// settle bounds the wait for accepted jobs once all faults are over; it only ends
-// a soak that has failed.
-const settle = 60 * time.Second
+// recoveryTimeout bounds the wait for accepted jobs to complete after the last fault. Only
+// a failed run reaches it.
+const recoveryTimeout = 60 * time.Second
 
-// once are seeds that failed once, each with the cause.
-var once = []uint64{
-	// A worker was lost after the leader had read and kept the ends of a step and
-	// before it had taken note of them at the worker. The audit took the step for not
-	// done when the next one was started again; its tasks had ended as done, which
-	// is what those that depend on them wait for.
+// regressionSeeds are seeds of TestSoak that have failed, each with the cause.
+var regressionSeeds = []uint64{
+	// A worker was lost after the leader had read and stored the completions of a step
+	// and before it had acknowledged them at the worker. The audit took the step for
+	// incomplete when the next one was started again; its tasks had succeeded, which is
+	// what dependent tasks wait for.
 	//
-	// Red once more, on a busy machine: two tasks were started again after an end as
-	// done that was then taken note of. The stand-in of a worker did not tell that a
-	// lease which is over frees such an end, if nothing ran beside it;
-	// TestEndThatALapseFreed forces that.
+	// It failed again on a busy machine: two tasks were started again after a completion
+	// that was acknowledged later. The fake worker did not report that an expired lease
+	// releases such a completion if nothing else is running;
+	// TestLeaseExpiryReleasesUnackedCompletion forces that.
 	101,
-	// Two restarts of one host met; the second waited, with the host locked, for the
-	// end of the process that the first had started. The soak's own fault.
+	// Two restarts of one host overlapped; the second waited, with the host locked, for
+	// the exit of the process that the first had started. A fault of this test.
 	107,
 }
 
-// onceOfLives are the same for TestSoakOfLives.
-var onceOfLives = []uint64{
-	// The audit's own fault, and the stand-in's, which told of a lapse only when it was
-	// called again: TestAuditTellsEndsApart.
+// restartRegressionSeeds are the same for TestSoakWithWorkerRestarts.
+var restartRegressionSeeds = []uint64{
+	// A fault of the audit, and of the fake worker, which reported an expired lease only
+	// on the next call: TestAuditAttributesCompletionsToRuns.
 	220,
 }
 
-// onceOfOutliving are the same for TestSoakOfCallsThatOutlive.
-var onceOfOutliving = []uint64{3002}
+// outliveRegressionSeeds are the same for TestSoakOfCallsThatOutlive.
+var outliveRegressionSeeds = []uint64{3002}
 
-// Hosts are killed, stopped, paused and cut off from the log, workers are cut off
-// and lost, connections are reset and slowed, in series that overlap, while callers
-// hand in jobs and keep their connections open. Whatever callers were told stays
-// true: what was accepted is completed, what was refused never runs; and workers
-// see no task twice, none after it was done, none before those it depends on.
+// Hosts are killed, stopped, paused and partitioned from the log, workers are partitioned
+// and lost, connections are reset and delayed, in overlapping sequences, while callers
+// submit jobs over connections that they keep open. Every answer to a caller holds:
+// accepted jobs complete and refused jobs never run. Workers see no task run twice at a
+// time, none after its acknowledged completion and none before its dependencies.
 func TestSoak(t *testing.T) {
-	program := build(t)
+	program := buildProgram(t)
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint(*first+i), func(t *testing.T) { play(t, program, faults, *first+i) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { runSeed(t, program, faults, *firstSeed+i) })
 	}
-	for _, seed := range once {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, program, faults, seed) })
+	for _, seed := range regressionSeeds {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, program, faults, seed) })
 	}
 }
 
-// The same while workers are born again under their id and address, a fifth of all
-// faults, beside cuts that hold calls up and let them go seconds later. A start that
-// was held up must not run in the next life: its task may have run elsewhere.
-func TestSoakOfLives(t *testing.T) {
-	program := build(t)
-	list := withFifth(faults, rebirth)
+// Runs TestSoak with worker restarts under the same id and address as a fifth of all
+// faults, beside partitions that hold calls and deliver them seconds later. Guards against
+// a held start call that the next incarnation executes: its task may have run elsewhere.
+func TestSoakWithWorkerRestarts(t *testing.T) {
+	program := buildProgram(t)
+	list := withFifth(faults, workerRestart)
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint(*first+i), func(t *testing.T) { play(t, program, list, *first+i) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { runSeed(t, program, list, *firstSeed+i) })
 	}
-	for _, seed := range onceOfLives {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, program, list, seed) })
+	for _, seed := range restartRegressionSeeds {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, program, list, seed) })
 	}
 }
 
-// The same once more while workers also leave orders unanswered and carry them out
-// seconds later, a fifth of all faults too.
-func TestSoakOfLateOrders(t *testing.T) {
-	program := build(t)
-	list := withFifth(withFifth(faults, rebirth), lateOrders)
+// Runs TestSoakWithWorkerRestarts with workers that leave calls unanswered and execute them
+// seconds later as another fifth of all faults.
+func TestSoakWithLateExecution(t *testing.T) {
+	program := buildProgram(t)
+	list := withFifth(withFifth(faults, workerRestart), lateExecution)
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint(*first+i), func(t *testing.T) { play(t, program, list, *first+i) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { runSeed(t, program, list, *firstSeed+i) })
 	}
 }
 
-// Guards against a start that is held up and carried out in its worker's next life, after its
-// task was done: something on the way takes calls in and dials anew for them.
+// Guards against a start call that is delayed and executed by the worker's next incarnation
+// after its task has completed: an intermediary accepts calls and opens a new connection to
+// deliver them.
 func TestSoakOfCallsThatOutlive(t *testing.T) {
-	program := build(t)
-	list := withFifth(withFifth(faults, rebirth), outlivingOrders)
+	program := buildProgram(t)
+	list := withFifth(withFifth(faults, workerRestart), lateExecutionAcrossRestarts)
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint(*first+i), func(t *testing.T) { play(t, program, list, *first+i) })
+		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) { runSeed(t, program, list, *firstSeed+i) })
 	}
-	for _, seed := range onceOfOutliving {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, program, list, seed) })
+	for _, seed := range outliveRegressionSeeds {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, program, list, seed) })
 	}
 }
 
-// withFifth adds a fault so often that it is a fifth of the list.
-func withFifth(faults []fault, one fault) []fault {
+// withFifth appends extra to faults until it makes up a fifth of the list.
+func withFifth(faults []fault, extra fault) []fault {
 	list := slices.Clone(faults)
 	for len(list) < len(faults)*5/4 {
-		list = append(list, one)
+		list = append(list, extra)
 	}
 	return list
 }
 
-func build(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	if testing.Short() {
 		t.Skip("runs processes")
 	}
@@ -126,57 +127,57 @@
 	return program
 }
 
-// play is one seed. The order of faults follows from it; the moments in which they
-// meet the hosts do not.
-func play(t *testing.T, program string, faults []fault, seed uint64) {
+// runSeed runs one seed. The sequence of faults follows from the seed; their timing
+// relative to the hosts' state does not.
+func runSeed(t *testing.T, program string, faults []fault, seed uint64) {
 	f := newFleet(t, program)
 	c := newCallers(f)
-	ctx, cancel := context.WithTimeout(context.Background(), *span)
+	ctx, cancel := context.WithTimeout(context.Background(), *faultPeriod)
 	defer cancel()
 	var group sync.WaitGroup
 	for i := range uint64(3) {
-		group.Go(func() { c.handIn(ctx, rand.New(rand.NewPCG(seed, i+1))) })
+		group.Go(func() { c.submitJobs(ctx, rand.New(rand.NewPCG(seed, i+1))) })
 	}
-	did := trouble(ctx, f, faults, rand.New(rand.NewPCG(seed, 0)))
+	history := injectFaults(ctx, f, faults, rand.New(rand.NewPCG(seed, 0)))
 	group.Wait()
-	for _, id := range c.withFate(accepted) {
-		until(t, settle, func() bool { return c.completed(id) }, "accepted job %s is completed", id)
+	for _, id := range c.jobsWith(accepted) {
+		waitFor(t, recoveryTimeout, func() bool { return c.completed(id) }, "accepted job %s is completed", id)
 	}
-	for _, id := range c.withFate(refused) {
+	for _, id := range c.jobsWith(refused) {
 		if f.audit.hasStarted(id) {
-			t.Errorf("job %s was refused at every try and ran", id)
+			t.Errorf("job %s ran although every attempt was refused", id)
 		}
 	}
-	for _, b := range f.audit.breaches() {
+	for _, b := range f.audit.violations() {
 		t.Error(b)
 	}
-	t.Logf("%d accepted, %d refused, %d unsure", len(c.withFate(accepted)), len(c.withFate(refused)), len(c.withFate(unsure)))
+	t.Logf("%d accepted, %d refused, %d unknown", len(c.jobsWith(accepted)), len(c.jobsWith(refused)), len(c.jobsWith(unknown)))
 	if t.Failed() {
-		for _, d := range did {
+		for _, d := range history {
 			t.Log(d)
 		}
 		keepLogs(t, f, seed)
 	}
 }
 
-func until(t *testing.T, bound time.Duration, cond func() bool, format string, args ...any) {
-	for deadline := time.Now().Add(bound); !cond(); time.Sleep(20 * time.Millisecond) {
+func waitFor(t *testing.T, timeout time.Duration, cond func() bool, format string, args ...any) {
+	for deadline := time.Now().Add(timeout); !cond(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Errorf("never: "+format, args...)
+			t.Errorf("condition not reached: "+format, args...)
 			return
 		}
 	}
 }
 
-// keepLogs copies what the hosts wrote.
+// keepLogs copies the hosts' logs to the folder set by -soak.logs, if any.
 func keepLogs(t *testing.T, f *fleet, seed uint64) {
-	if *logs == "" {
+	if *logDir == "" {
 		return
 	}
 	for _, h := range f.hosts {
-		text, err := os.ReadFile(h.logs)
+		text, err := os.ReadFile(h.logFile)
 		if err == nil {
-			err = os.WriteFile(filepath.Join(*logs, fmt.Sprintf("%d-%s.log", seed, h.name)), text, 0o600)
+			err = os.WriteFile(filepath.Join(*logDir, fmt.Sprintf("%d-%s.log", seed, h.name)), text, 0o600)
 		}
 		if err != nil {
 			t.Log(err)
