--- a/host/bench_test.go
+++ b/host/bench_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// BenchmarkJobs is the cost of a job of two tasks, with its caller and the
-// stand-ins of the platform in the same process.
+// BenchmarkJobs measures the cost of a job of two tasks, including its caller and
+// the fake platform in the same process.
 func BenchmarkJobs(b *testing.B) {
-	f := newFleet(b, 2, 24, 20*time.Millisecond)
+	f := newTestRegion(b, 2, 24, 20*time.Millisecond)
 	m := f.leader()
 	n := 0
 	for b.Loop() {
@@ -19,6 +19,6 @@
 		n++
 	}
 	for i := range n {
-		f.until("the job is completed", func() bool { return f.completed(m, i) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(m, i) })
 	}
 }
--- a/region/bench_test.go
+++ b/region/bench_test.go
@@ -25,7 +25,7 @@
 		}})
 		s.Step(now, Held{Order: model.HoldRequest{Worker: model.WorkerRef{ID: id, BornUnix: 1}}, SentAt: now, Hold: model.HoldResponse{ClockMs: 1, BornUnix: 1}})
 	}
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		w.used.MilliCPU = used
 	}
 	for i := range steps {
@@ -35,8 +35,8 @@
 			Advice: &record.Advice{DecideMs: 5, EachMs: 0.1, ValidMs: 2000}}
 		s.Step(now, IntakeRead{Records: []*record.Intake{{Kind: &record.Intake_Submitted{Submitted: j}}}})
 		st := s.jobs[j.Id].occs[0].steps[0]
-		for n, w := range s.order {
-			st.advice.note(adviceMark{worker: w, good: (n+i)%3 == 0})
+		for n, w := range s.workerList {
+			st.advice.note(adviceMark{worker: w, eligible: (n+i)%3 == 0})
 		}
 	}
 	return s, now
@@ -52,9 +52,9 @@
 				s, now := newBacklogScheduler(size.workers, size.steps, used)
 				for b.Loop() {
 					now += time.Microsecond
-					s.provenAt, s.dirty, s.lastPass = now, true, 0
-					for _, w := range s.order {
-						w.lookedAt = now
+					s.lastProofAt, s.dirty, s.lastPass = now, true, 0
+					for _, w := range s.workerList {
+						w.probedAt = now
 					}
 					s.Step(now, Schedule{})
 				}
--- a/region/lanes_test.go
+++ b/region/lanes_test.go
@@ -9,7 +9,8 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// queueWithAdvice is a queue whose calls for advice about 100 workers take ms.
+// queueWithAdvice returns a queue whose advice calls, also those about 100 workers,
+// take ms.
 func queueWithAdvice(name string, ms float64) model.Queue {
 	return model.Queue{Name: name, Policy: &record.Policy{
 		Service: "svc", Priority: 1, MaxAttempts: 3, Stretch: 2, TargetLatencyMs: 1000,
@@ -17,11 +18,11 @@
 	}}
 }
 
-// A queue whose calls for advice take a quarter of a second shares the region with
-// one whose calls take more than a second, and of which many steps wait. Every
-// host always has one of the long calls under way, so that a shorter one finds no
-// host free, and its jobs wait for minutes beside workers that are empty.
-func TestLongCallsForAdviceLeaveHostsToShorterOnes(t *testing.T) {
+// A queue with advice calls of a quarter of a second shares the region with one whose
+// calls take more than a second and which has many waiting steps. If every host always
+// has a long call in flight, a shorter call finds no free host, and its jobs wait for
+// minutes while workers are idle.
+func TestLongAdviceCallsLeaveHostsToShortOnes(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 8 {
 		w.addWorker(fmt.Sprintf("w%d", i), 64)
@@ -45,9 +46,9 @@
 	w.mustComplete("middle")
 }
 
-// Lanes follow from what is configured: calls that are alike share one, and then
-// no host is left idle for shorter calls that nobody makes.
-func TestLanes(t *testing.T) {
+// Queues with calls of similar length share a tier, so that no host is kept idle for
+// shorter calls that do not exist.
+func TestAdviceTiers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ms    []float64
 		first []int // of 8 hosts
@@ -62,13 +63,13 @@
 		for i, ms := range tc.ms {
 			c.Queues = append(c.Queues, queueWithAdvice(fmt.Sprint(i), ms))
 		}
-		l := lanesOf(c)
+		l := adviceTiersOf(c)
 		for i, want := range tc.first {
-			if got := l.first(fmt.Sprint(i), 8); got != want {
+			if got := l.firstHost(fmt.Sprint(i), 8); got != want {
 				t.Errorf("%s: queue %d uses hosts from %d on, want %d", name, i, got, want)
 			}
 		}
-		if got := l.first("0", 1); got != 0 {
+		if got := l.firstHost("0", 1); got != 0 {
 			t.Errorf("%s: the only host is not used", name)
 		}
 	}
--- a/region/learn.go
+++ b/region/learn.go
@@ -7,27 +7,27 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// estimates corrects declared run times by what was seen: declared ones are up
-// to 90% off, and off in the same way for all jobs of a queue.
+// estimates corrects declared run times by observed ones. Declared run times are up to
+// 90% off, in the same direction for all jobs of a queue.
 type estimates struct {
 	byQueue map[string]*queueEstimate
 }
 
-// queueEstimate is a running mean of real over declared run time.
+// queueEstimate holds the observed run times of a queue.
 type queueEstimate struct {
-	ratio float64
-	usual time.Duration // running mean of real run times; 0 before the first
-	n     float64
+	ratio   float64       // running mean of observed over declared run time
+	usual   time.Duration // running mean of observed run times; 0 before the first
+	samples float64       // ends in the means, at most estimateWindow
 }
 
 const (
-	// estimateMemory is how many ends a running mean spans.
-	estimateMemory = 50
-	// fallbackRunTime stands in for a run time that was not declared.
+	// estimateWindow is how many ends a running mean spans.
+	estimateWindow = 50
+	// fallbackRunTime is assumed where no run time was declared.
 	fallbackRunTime = time.Second
 )
 
-func (e *estimates) of(queue string) *queueEstimate {
+func (e *estimates) forQueue(queue string) *queueEstimate {
 	if e.byQueue == nil {
 		e.byQueue = make(map[string]*queueEstimate)
 	}
@@ -39,7 +39,7 @@
 	return q
 }
 
-// runTime returns how long a task of the step is expected to run.
+// runTime returns the expected run time of a task of the step.
 func (j *job) runTime(st *record.Step) time.Duration {
 	declared := time.Duration(st.EstimateMs) * time.Millisecond
 	if declared <= 0 {
@@ -48,7 +48,8 @@
 	return time.Duration(float64(declared) * j.queue.ratio)
 }
 
-// expectedEnd returns when a run is expected to end.
+// expectedEnd returns when a run is expected to end; the run of a long-running task
+// never is.
 func (r *run) expectedEnd() time.Duration {
 	if r.task.step.rec.LongRunning {
 		return 1<<62 - 1
@@ -60,7 +61,8 @@
 	return from + r.task.step.runTimeOn(r.worker)
 }
 
-// learn takes an end into account.
+// learn updates the health of the run's worker and the estimates of its queue with the
+// end of a run.
 func (s *Scheduler) learn(r *run, outcome record.Outcome) {
 	switch outcome {
 	case record.Outcome_OUTCOME_DONE:
@@ -69,42 +71,43 @@
 			q := r.task.step.job.queue
 			took := s.now - r.startedAt
 			if r.task.checkpoint == "" {
-				r.task.ran, r.task.ranOn = took, r.worker
+				r.task.runTime, r.task.ranOn = took, r.worker
 			}
-			seen := float64(took) / float64(time.Duration(r.task.step.rec.EstimateMs)*time.Millisecond)
-			q.n = min(q.n+1, estimateMemory)
-			q.ratio += (seen - q.ratio) / q.n
-			q.usual += time.Duration(float64(took-q.usual) / q.n)
+			observed := float64(took) / float64(time.Duration(r.task.step.rec.EstimateMs)*time.Millisecond)
+			q.samples = min(q.samples+1, estimateWindow)
+			q.ratio += (observed - q.ratio) / q.samples
+			q.usual += time.Duration(float64(took-q.usual) / q.samples)
 		}
 	case record.Outcome_OUTCOME_FAILED:
 		r.worker.health.failed(s.now)
-		if !r.worker.health.trusted(s.now) {
+		if !r.worker.health.healthy(s.now) {
 			s.explain("", "worker quarantined", Field{"worker", r.worker.entry.ID}, Field{"failures", r.worker.health.failures})
 		}
 	}
 }
 
-// stallAfter is how long a run may show no progress. Looks are up to 0.8 s apart,
-// and the slowest sound tasks gain a percent in a second.
-const stallAfter = 1500 * time.Millisecond
+// stallTimeout is how long a run may show no progress. Probes are up to 0.8 s apart,
+// and the slowest healthy tasks gain one percent in a second.
+const stallTimeout = 1500 * time.Millisecond
 
-// progress notes how far a run is, and stops one that stands still: a worker on
-// which tasks hang looks sound, as it answers and fails nothing. The run counts
-// as no attempt and goes on elsewhere from its checkpoint. A gang's members are
-// left alone: their progress does not tell which of them hangs.
+// progress records the progress of a run and stops a run without progress. A worker on
+// which tasks hang otherwise seems healthy, as it answers and no task on it fails. The
+// stop does not count as an attempt, and the task continues elsewhere from its
+// checkpoint. Gang members are not stopped, because their progress does not show which
+// of them hangs.
 func (s *Scheduler) progress(r *run, row model.Running) {
 	st := r.task.step.rec
 	if row.Percent != r.percent || r.movedAt == 0 {
 		r.percent = row.Percent
 		r.movedAt = s.now
-		if !st.Gang && !st.LongRunning && s.crawls(r) {
-			r.task.crawled = true
+		if !st.Gang && !st.LongRunning && s.isStraggler(r) {
+			r.task.movedOffSlow = true
 			r.worker.health.stalled(s.now)
 			s.stopRun(r, "far slower than its queue's tasks are")
 		}
 		return
 	}
-	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.movedAt < stallAfter {
+	if st.Gang || st.LongRunning || r.phase != phaseRunning || s.now-r.movedAt < stallTimeout {
 		return
 	}
 	r.worker.health.stalled(s.now)
@@ -112,51 +115,52 @@
 }
 
 const (
-	// crawlFactor times as long as expected is what a run must seem to take to count
-	// as crawling: real run times spread to two and a half times their mean, and
-	// sound workers are up to 1.6 times as fast as each other.
-	crawlFactor = 4
-	// crawlAfter is how long a run is watched before its pace is believed.
-	crawlAfter = 300 * time.Millisecond
-	// crawlLearned is how many ends of a queue are known before its usual run time
-	// is believed.
-	crawlLearned = 10
+	// stragglerFactor is how many times its expected run time a run must be projected to
+	// take to count as a straggler. Real run times reach two and a half times their
+	// mean, and healthy workers are up to 1.6 times as fast as each other.
+	stragglerFactor = 4
+	// stragglerMinRunTime is how long a run must have run before its progress is
+	// projected.
+	stragglerMinRunTime = 300 * time.Millisecond
+	// stragglerMinSamples is how many ends of a queue are needed before its run times
+	// are used for this.
+	stragglerMinSamples = 10
 )
 
-// crawls reports whether a run goes so slowly that it is over sooner if it is
-// started again elsewhere. Its worker is slow then: it answers and fails nothing,
-// and what runs there takes many times as long, so that urgent work comes too late.
+// isStraggler reports whether a run is a straggler that would end sooner if it were
+// started again elsewhere. Its worker is then slow: it answers and no task on it fails,
+// but runs there take many times as long, and urgent work ends too late.
 //
-// A task is moved once: one that really takes that long would otherwise be stopped
-// again and again and never end.
-func (s *Scheduler) crawls(r *run) bool {
+// A task is moved at most once. One that really takes that long would otherwise be
+// stopped again and again and never end.
+func (s *Scheduler) isStraggler(r *run) bool {
 	ran := s.now - r.startedAt
 	st := r.task.step
 	queue := st.job.queue
-	if r.phase != phaseRunning || r.percent <= 0 || ran < crawlAfter || r.task.crawled || queue.n < crawlLearned {
+	if r.phase != phaseRunning || r.percent <= 0 || ran < stragglerMinRunTime || r.task.movedOffSlow || queue.samples < stragglerMinSamples {
 		return false
 	}
 	expected := max(st.job.runTime(st.rec), queue.usual)
-	whole := ran * 100 / time.Duration(r.percent)
-	return whole > crawlFactor*expected && whole-ran > expected+restartTime
+	projected := ran * 100 / time.Duration(r.percent)
+	return projected > stragglerFactor*expected && projected-ran > expected+restartTime
 }
 
 const (
-	// quarantineAfter is how many failures in a row, with no success between,
-	// take a worker out: one in twenty tasks fails by its own fault at most, so
-	// that three in a row happen once in 8,000 on a sound worker.
+	// quarantineAfter is how many failures in a row, without a success between, put a
+	// worker into quarantine. At most one task in twenty fails by its own fault, so
+	// three in a row occur once in 8,000 cases on a healthy worker.
 	quarantineAfter = 3
-	// quarantineFirst is the first time out; it doubles with each further
-	// failure up to quarantineMost.
-	quarantineFirst = 2 * time.Second
-	quarantineMost  = 16 * time.Second
+	// minQuarantine is the first time in quarantine. It doubles with each further
+	// failure, up to maxQuarantine.
+	minQuarantine = 2 * time.Second
+	maxQuarantine = 16 * time.Second
 )
 
-// health is what a worker's own acts say of it. A worker that fails all it
-// starts is always idle and would draw all work.
+// health tracks the failures of a worker. A worker that fails every task it starts is
+// always idle and would attract all work.
 type health struct {
-	failures int // in a row
-	outTo    time.Duration
+	failures int           // in a row
+	outUntil time.Duration // end of the quarantine
 }
 
 func (h *health) done() { *h = health{} }
@@ -166,19 +170,20 @@
 	if h.failures < quarantineAfter {
 		return
 	}
-	out := quarantineFirst << min(h.failures-quarantineAfter, 3)
-	h.outTo = now + min(out, quarantineMost)
+	period := minQuarantine << min(h.failures-quarantineAfter, 3)
+	h.outUntil = now + min(period, maxQuarantine)
 }
 
-// stalled takes a worker out on which a task hangs: the next one would too.
-func (h *health) stalled(now time.Duration) { h.outTo = max(h.outTo, now+quarantineFirst) }
+// stalled puts a worker on which a task hangs into quarantine, since the next task
+// would hang too.
+func (h *health) stalled(now time.Duration) { h.outUntil = max(h.outUntil, now+minQuarantine) }
 
 func (h *health) refused(now time.Duration) { h.failed(now) }
 
-func (h *health) trusted(now time.Duration) bool { return now >= h.outTo }
+func (h *health) healthy(now time.Duration) bool { return now >= h.outUntil }
 
-// failurePenalty ranks a worker with fresh failures behind others, in
-// thousandths of a core.
+// failurePenalty ranks a worker with recent failures behind others, in thousandths of a
+// core for each failure.
 const failurePenalty = 5000
 
 func (h *health) penalty(time.Duration) float64 { return float64(h.failures) * failurePenalty }
--- a/region/pass.go
+++ b/region/pass.go
@@ -8,115 +8,114 @@
 )
 
 const (
-	// passEvery is the shortest time between two looks for room. Events come
-	// some hundred times a second; a pass for several of them costs as much as
-	// for one.
-	passEvery = 4 * time.Millisecond
-	// passPerStep lengthens that time for each step that waits: 10 ms more at
-	// 500 steps.
-	passPerStep = 20 * time.Microsecond
-	// headTries and tailTries bound the steps of a class that are looked at
-	// closely in one pass without success: the most urgent ones, and as many
-	// further ones in turn, so that a step behind many that fit nowhere has its
-	// look too.
+	// basePassInterval is the shortest time between two placement passes. Several hundred
+	// events arrive in a second, and a pass for several of them costs as much as for
+	// one.
+	basePassInterval = 4 * time.Millisecond
+	// passIntervalPerStep lengthens that time for each waiting step: by 10 ms at 500
+	// steps.
+	passIntervalPerStep = 20 * time.Microsecond
+	// headTries and tailTries bound the steps of a class on which placement fails in
+	// one pass: the most urgent ones, and as many further ones in rotation. The
+	// rotation lets a step be tried although many steps before it fit nowhere.
 	headTries = 24
 	tailTries = 24
 )
 
-// schedule starts what fits, most urgent first.
+// schedule runs a placement pass: it starts the tasks that fit, the most urgent first.
 func (s *Scheduler) schedule() {
-	if !s.leading() || s.config == nil || !s.dirty || s.now-s.lastPass < s.passPause() {
+	if !s.leading() || s.config == nil || !s.dirty || s.now-s.lastPass < s.passInterval() {
 		return
 	}
 	s.lastPass = s.now
 	s.dirty = false
-	if !s.proven() || s.logStalled() || s.linkLoad > overfullLink {
+	if !s.leadershipConfirmed() || s.logStalled() || s.linkLoad > overfullLink {
 		return
 	}
 	s.pacer.refill(s.opts.StartsPerS, s.now)
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
-	for _, w := range s.order {
-		w.overdue = w.orders.overdue(before)
+	for _, w := range s.workerList {
+		w.overdue = w.pendingOrders.overdue(before)
 		w.claimed = model.Resources{}
 		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
 		if s.usable(w) {
 			s.usableNow = append(s.usableNow, w)
 		}
 	}
-	s.roomiest.valid = false
+	s.freeBounds.valid = false
 	for c, steps := range s.byClass() {
 		s.pass(steps, class(c))
 	}
 }
 
-// roomiest is the most of each resource that is free on any one worker. A step
-// that asks for more finds no room, which is then known without a look at all
-// workers: under load most waiting steps are settled by it. Assignments make it
-// too large until it is worked out again, which only costs a close look at a step.
-type roomiest struct {
+// freeBounds holds upper bounds of the room on any one worker. A step that asks for more
+// fits on no worker, and no worker need be checked; under load that settles most
+// waiting steps. Assignments leave the bounds too high until they are computed again,
+// which costs no more than a full check of a step.
+type freeBounds struct {
 	valid     bool
-	taken     bool // room was taken since
-	byService map[string]*roomiestOf
+	assigned  bool // tasks were assigned since
+	byService map[string]*serviceFreeBounds
 }
 
-// roomiestOf is the most of each resource that is free on any worker of a service.
-type roomiestOf struct {
-	free model.Resources // on workers that no gang waits for
-	kept model.Resources // the same with those that gangs keep from late work only
-	any  model.Resources // on all workers
+// serviceFreeBounds is the most of each resource that is free on any worker of a service.
+type serviceFreeBounds struct {
+	unreserved        model.Resources // on workers without a reservation
+	notFirmlyReserved model.Resources // also on workers that gangs reserve against late work only
+	any               model.Resources // on all workers
 }
 
-// hopeless reports whether no worker has room for one task of the step.
-func (s *Scheduler) hopeless(st *step) bool {
-	if !s.roomiest.valid {
-		s.findRoomiest()
+// infeasible reports whether no worker has room for one task of the step.
+func (s *Scheduler) infeasible(st *step) bool {
+	if !s.freeBounds.valid {
+		s.computeFreeBounds()
 	}
-	of, known := s.roomiest.byService[st.job.rec.Policy.GetService()]
+	of, known := s.freeBounds.byService[st.job.rec.Policy.GetService()]
 	if !known {
 		return true
 	}
 	switch {
-	case st.rec.Gang || s.passesReserved(st):
+	case st.rec.Gang || s.ignoresReservations(st):
 		return !st.room().Fits(of.any)
-	case s.classOf(st) <= classExcess:
-		return !st.room().Fits(of.kept)
+	case s.classOf(st) <= classOverShare:
+		return !st.room().Fits(of.notFirmlyReserved)
 	}
-	return !st.room().Fits(of.free)
+	return !st.room().Fits(of.unreserved)
 }
 
-func (s *Scheduler) findRoomiest() {
-	s.roomiest = roomiest{valid: true, byService: make(map[string]*roomiestOf)}
+func (s *Scheduler) computeFreeBounds() {
+	s.freeBounds = freeBounds{valid: true, byService: make(map[string]*serviceFreeBounds)}
 	var (
-		of      *roomiestOf
+		of      *serviceFreeBounds
 		service string
 	)
 	for _, w := range s.usableNow {
 		if of == nil || w.entry.Service != service {
 			service = w.entry.Service
-			of = s.roomiest.of(service)
+			of = s.freeBounds.forService(service)
 		}
 		free := w.free()
-		of.any = most(of.any, free)
+		of.any = elementwiseMax(of.any, free)
 		if w.reserved == nil {
-			of.kept = most(of.kept, free)
+			of.notFirmlyReserved = elementwiseMax(of.notFirmlyReserved, free)
 		}
 		if w.reserved == nil && w.kept == nil {
-			of.free = most(of.free, free)
+			of.unreserved = elementwiseMax(of.unreserved, free)
 		}
 	}
 }
 
-func (r *roomiest) of(service string) *roomiestOf {
+func (r *freeBounds) forService(service string) *serviceFreeBounds {
 	of, known := r.byService[service]
 	if !known {
-		of = &roomiestOf{}
+		of = &serviceFreeBounds{}
 		r.byService[service] = of
 	}
 	return of
 }
 
-func most(a, b model.Resources) model.Resources {
+func elementwiseMax(a, b model.Resources) model.Resources {
 	return model.Resources{
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
 		MemoryMiB:    max(a.MemoryMiB, b.MemoryMiB),
@@ -124,45 +123,45 @@
 	}
 }
 
-// passPause is the shortest time between two passes: longer with more steps to
-// walk, so that a backlog does not take the processor from the answers of the
-// workers.
-func (s *Scheduler) passPause() time.Duration {
-	return passEvery + time.Duration(len(s.ready.steps))*passPerStep
+// passInterval is the shortest time between two passes. It grows with the number of steps
+// to check, so that a backlog does not use the processor time that answers of workers
+// need.
+func (s *Scheduler) passInterval() time.Duration {
+	return basePassInterval + time.Duration(len(s.ready.steps))*passIntervalPerStep
 }
 
-// class ranks steps by what can still be earned.
+// class ranks steps by how much credit they can still earn.
 type class int
 
 const (
-	classOnTime  class = iota // the objective can be met
-	classExcess               // so can it, but the workspace sends more than its share
-	classPartial              // late, yet worth a part
-	classRest                 // nothing is earned any more; it is owed all the same
-	classes
+	classOnTime        class = iota // the objective can be met
+	classOverShare                  // the same, but the workspace is above its share
+	classPartialCredit              // late, but with partial credit
+	classNoCredit                   // no credit any more; still to be run
+	numClasses
 )
 
-// classOf returns the step's class now. Under overload the steps that can still
-// meet their objective go first: by deadline alone, each would start just when
-// it is too late, and none would be on time.
+// classOf returns the step's class now. Under overload, steps that can still meet their
+// objective go first: ordered by deadline alone, each step would start just when it is
+// too late, and none would be on time.
 func (s *Scheduler) classOf(st *step) class {
 	switch {
 	case st.rec.LongRunning:
-		return classOnTime // it is to be at work at any time, not by an objective
-	case s.now > st.lateAt:
-		return classRest
-	case s.now > st.key:
-		return classPartial
-	case st.job.excess:
-		return classExcess
+		return classOnTime // it has no objective and is to run at any time
+	case s.now > st.latestForCredit:
+		return classNoCredit
+	case s.now > st.latestStart:
+		return classPartialCredit
+	case st.job.overShare:
+		return classOverShare
 	}
 	return classOnTime
 }
 
-// byClass splits the ready steps, each class in the order of urgency. Steps
-// that have nothing to start any more leave the list.
-func (s *Scheduler) byClass() [classes][]*step {
-	var out [classes][]*step
+// byClass splits the ready steps into classes, each in the order of urgency, and
+// removes steps with nothing to start.
+func (s *Scheduler) byClass() [numClasses][]*step {
+	var out [numClasses][]*step
 	keep := s.ready.steps[:0]
 	for _, st := range s.ready.steps {
 		if st.job.over() || !st.anyWaiting() {
@@ -179,54 +178,55 @@
 	return out
 }
 
-// pass starts what fits of some steps.
+// pass starts what fits of the steps of class c.
 func (s *Scheduler) pass(steps []*step, c class) {
 	gangs, tries := 0, 0
-	turn := s.turns[c]
+	start := s.tailStart[c]
 	for i, st := range steps {
 		if s.now < st.notUntil {
 			continue
 		}
 		if !s.canStart() {
-			st.blocked = "link"
+			st.heldBy = "link"
 			s.dirty = true
 			return
 		}
-		reserving := st.rec.Gang && gangs < reservedGangs+keptGangs && (gangs < reservedGangs || c <= classExcess)
-		if !reserving && s.hopeless(st) {
-			st.blocked = reasonNames[rejectRoom]
-			s.makeRoom(st)
-			if c <= classExcess {
-				s.wantFirstAdvice(st)
+		reserving := st.rec.Gang && gangs < maxFirmReservations+maxSoftReservations && (gangs < maxFirmReservations || c <= classOverShare)
+		if !reserving && s.infeasible(st) {
+			st.heldBy = reasonNames[rejectRoom]
+			s.preemptFor(st)
+			if c <= classOverShare {
+				s.requestFirstAdvice(st)
 			}
 			continue
 		}
-		if tries >= headTries && (i < turn || tries >= headTries+tailTries) {
+		if tries >= headTries && (i < start || tries >= headTries+tailTries) {
 			continue
 		}
 		if s.place(st) {
 			continue
 		}
-		if s.roomiest.taken {
-			s.roomiest.valid = false
+		if s.freeBounds.assigned {
+			s.freeBounds.valid = false
 		}
-		s.makeRoom(st)
+		s.preemptFor(st)
 		tries++
 		if tries > headTries {
-			s.turns[c] = i + 1
+			s.tailStart[c] = i + 1
 		}
 		if reserving {
 			gangs++
-			s.reserve(st, gangs <= reservedGangs)
+			s.reserve(st, gangs <= maxFirmReservations)
 		}
-		s.wantAdvice(st)
+		s.refreshAdvice(st)
 	}
 	if tries < headTries+tailTries {
-		s.turns[c] = 0
+		s.tailStart[c] = 0
 	}
 }
 
-// place starts what it can of a step and reports whether nothing of it waits.
+// place starts what fits of a step. It reports whether the pass needs no reservation or
+// preemption for it: no task of it waits or, for a gang, more room would not help.
 func (s *Scheduler) place(st *step) bool {
 	if st.rec.Gang {
 		return s.placeGang(st)
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -284,7 +284,7 @@
 			continue // the log rejects appends of a replaced scheduler
 		}
 		w.entries = append(w.entries, u.append.Entries...)
-		w.answer(u.generation, testDelay, func() Event { return Logged{Seq: u.append.Seq, SentAt: u.sent} })
+		w.answer(u.generation, testDelay, func() Event { return Committed{Seq: u.append.Seq, SentAt: u.sent} })
 	}
 	w.pendingAppends = nil
 }
--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -69,7 +69,7 @@
 }
 
 // observe handles a worker event.
-func (a *audit) observe(e fakeplatform.WorkerSaw) {
+func (a *audit) observe(e fakeplatform.WorkerEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := runID{e.Task, e.Run}
@@ -80,17 +80,17 @@
 		delete(a.running[e.Task], e.Worker)
 		a.succeeded[e.Task] = true
 		a.completions[e.Task] = append(a.completions[e.Task], id)
-	case fakeplatform.RunOver:
+	case fakeplatform.RunAborted:
 		delete(a.running[e.Task], e.Worker)
-	case fakeplatform.EndForgot:
+	case fakeplatform.EndDropped:
 		a.discarded[id] = true
 		a.completions[e.Task] = slices.DeleteFunc(a.completions[e.Task], func(done runID) bool { return done == id })
-	case fakeplatform.EndNoted:
+	case fakeplatform.EndAcked:
 		a.acknowledge(id)
 	}
 }
 
-func (a *audit) startRun(e fakeplatform.WorkerSaw) {
+func (a *audit) startRun(e fakeplatform.WorkerEvent) {
 	job, step, ok := splitTask(e.Task)
 	spec, known := a.specs[job]
 	switch {
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -21,30 +21,30 @@
 // completion by the second and so missed the opposite case.
 func TestAuditAttributesCompletionsToRuns(t *testing.T) {
 	const task = "00000000000000aa.0.0.0"
-	event := func(what fakeplatform.WorkerEvent, worker string, run int) fakeplatform.WorkerSaw {
-		return fakeplatform.WorkerSaw{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
+	event := func(what fakeplatform.EventKind, worker string, run int) fakeplatform.WorkerEvent {
+		return fakeplatform.WorkerEvent{Worker: worker, What: what, Task: task, Run: run, Spec: "spec"}
 	}
-	ranTwice := []fakeplatform.WorkerSaw{
+	ranTwice := []fakeplatform.WorkerEvent{
 		event(fakeplatform.RunStarted, "i-0", 1), event(fakeplatform.RunDone, "i-0", 1),
 		event(fakeplatform.RunStarted, "i-2", 2), event(fakeplatform.RunDone, "i-2", 2),
 	}
 	for name, c := range map[string]struct {
-		then []fakeplatform.WorkerSaw
+		then []fakeplatform.WorkerEvent
 		want string // in the only violation; empty for none
 	}{
 		"second completion acknowledged, first discarded": {
-			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.EndForgot, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{event(fakeplatform.EndAcked, "i-2", 2), event(fakeplatform.EndDropped, "i-0", 1)},
 		},
 		"first completion acknowledged": {
-			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{event(fakeplatform.EndAcked, "i-0", 1)},
 			want: "after the completion of run 1",
 		},
 		"both completions acknowledged": {
-			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.EndNoted, "i-0", 1)},
+			then: []fakeplatform.WorkerEvent{event(fakeplatform.EndAcked, "i-2", 2), event(fakeplatform.EndAcked, "i-0", 1)},
 			want: "after the completion of run 1",
 		},
 		"run starts after an acknowledged completion": {
-			then: []fakeplatform.WorkerSaw{event(fakeplatform.EndNoted, "i-2", 2), event(fakeplatform.RunStarted, "i-1", 3)},
+			then: []fakeplatform.WorkerEvent{event(fakeplatform.EndAcked, "i-2", 2), event(fakeplatform.RunStarted, "i-1", 3)},
 			want: "run 3 started on i-1 after an acknowledged completion",
 		},
 	} {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -94,14 +94,14 @@
 // after newer ones.
 var lateExecution = fault{"worker executes late", func(f *fleet, h, w int) func() {
 	worker := f.worker(w)
-	worker.Late(time.Duration(2+h%4) * time.Second)
-	return func() { worker.Late(0) }
+	worker.DelayCalls(time.Duration(2+h%4) * time.Second)
+	return func() { worker.DelayCalls(0) }
 }}
 
 // lateExecutionAcrossRestarts is the same with calls that are executed even if the
 // incarnation that they were sent to has ended.
 var lateExecutionAcrossRestarts = fault{"worker executes late, across restarts", func(f *fleet, h, w int) func() {
-	f.worker(w).Outlive()
+	f.worker(w).KeepDelayedCalls()
 	return lateExecution.inject(f, h, w)
 }}
 
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -46,7 +46,7 @@
 	name, program, settings, logFile string
 	frontProxy                       *proxy // callers connect through it
 	logProxy                         *proxy // the host reaches the log through it
-	door                             *fakeplatform.Door
+	door                             *fakeplatform.Endpoint
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -123,7 +123,7 @@
 
 func (f *fleet) addHost(program, name string) {
 	t := f.t
-	h := &host{name: name, program: program, door: f.store.Door()}
+	h := &host{name: name, program: program, door: f.store.Endpoint()}
 	h.logProxy = newProxy(t, h.door.Address())
 	address := func() string {
 		a, err := fakeplatform.FreeAddress()
--- a/soak/lapse_test.go
+++ b/soak/lapse_test.go
@@ -25,7 +25,7 @@
 }
 
 // observe handles a worker event; the worker is locked meanwhile.
-func (l *expiryObserver) observe(e fakeplatform.WorkerSaw) {
+func (l *expiryObserver) observe(e fakeplatform.WorkerEvent) {
 	l.fleet.audit.observe(e)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 			l.isolated = l.fleet.workerByID(e.Worker)
 			l.isolated.proxy.setMode(holdAll)
 		}
-	case e.What == fakeplatform.EndNoted && e.Worker == l.isolated.ID && e.Run == 1:
+	case e.What == fakeplatform.EndAcked && e.Worker == l.isolated.ID && e.Run == 1:
 		l.acked = true
 	}
 }
