--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -28,10 +28,10 @@
 	steps       map[string][]stepSpec
 	running     map[string]map[string]int // run numbers by task and worker
 	succeeded   map[string]bool           // by task: a run has succeeded, which is enough for dependent tasks
-	completions map[string][]runID        // by task: completions that are binding unless discarded
+	completions map[string][]runID        // by task: completions that are binding unless dropped
 	acked       map[string]bool           // by task: a completion was acknowledged
 	restarted   map[runID]bool            // by completion not yet acknowledged: its task was started after it
-	discarded   map[runID]bool            // completions that a worker discarded before an acknowledgement
+	dropped     map[runID]bool            // completions that a worker dropped unacknowledged
 	started     map[string]bool           // by job
 	found       []string
 }
@@ -40,7 +40,7 @@
 	return &audit{
 		specs: make(map[string]string), steps: make(map[string][]stepSpec), running: make(map[string]map[string]int),
 		succeeded: make(map[string]bool), completions: make(map[string][]runID), acked: make(map[string]bool), restarted: make(map[runID]bool),
-		discarded: make(map[runID]bool), started: make(map[string]bool),
+		dropped: make(map[runID]bool), started: make(map[string]bool),
 	}
 }
 
@@ -83,7 +83,7 @@
 	case fakeplatform.RunAborted:
 		delete(a.running[e.Task], e.Worker)
 	case fakeplatform.EndDropped:
-		a.discarded[id] = true
+		a.dropped[id] = true
 		a.completions[e.Task] = slices.DeleteFunc(a.completions[e.Task], func(done runID) bool { return done == id })
 	case fakeplatform.EndAcked:
 		a.acknowledge(id)
@@ -137,7 +137,7 @@
 // acknowledge makes a completion binding: the task must not have been started since it, and
 // must not be started later.
 func (a *audit) acknowledge(id runID) {
-	if a.discarded[id] || !slices.Contains(a.completions[id.task], id) {
+	if a.dropped[id] || !slices.Contains(a.completions[id.task], id) {
 		return
 	}
 	a.acked[id.task] = true
--- a/soak/auditcheck_test.go
+++ b/soak/auditcheck_test.go
@@ -32,7 +32,7 @@
 		then []fakeplatform.WorkerEvent
 		want string // in the only violation; empty for none
 	}{
-		"second completion acknowledged, first discarded": {
+		"second completion acknowledged, first dropped": {
 			then: []fakeplatform.WorkerEvent{event(fakeplatform.EndAcked, "i-2", 2), event(fakeplatform.EndDropped, "i-0", 1)},
 		},
 		"first completion acknowledged": {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -54,11 +54,11 @@
 		return nil
 	}},
 	{"log refuses", func(f *fleet, h, _ int) func() {
-		f.hosts[h].door.Refuse(true)
-		return func() { f.hosts[h].door.Refuse(false) }
+		f.hosts[h].endpoint.Refuse(true)
+		return func() { f.hosts[h].endpoint.Refuse(false) }
 	}},
 	{"log responses lost", func(f *fleet, h, _ int) func() {
-		f.hosts[h].door.LoseAnswers(5)
+		f.hosts[h].endpoint.LoseAnswers(5)
 		return nil
 	}},
 	{"log partition down", func(f *fleet, h, _ int) func() {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -46,7 +46,7 @@
 	name, program, settings, logFile string
 	frontProxy                       *proxy // callers connect through it
 	logProxy                         *proxy // the host reaches the log through it
-	door                             *fakeplatform.Endpoint
+	endpoint                         *fakeplatform.Endpoint
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -123,8 +123,8 @@
 
 func (f *fleet) addHost(program, name string) {
 	t := f.t
-	h := &host{name: name, program: program, door: f.store.Endpoint()}
-	h.logProxy = newProxy(t, h.door.Address())
+	h := &host{name: name, program: program, endpoint: f.store.Endpoint()}
+	h.logProxy = newProxy(t, h.endpoint.Address())
 	address := func() string {
 		a, err := fakeplatform.FreeAddress()
 		if err != nil {
@@ -151,7 +151,7 @@
 		ended := h.ended
 		h.mu.Unlock()
 		<-ended
-		h.door.Close()
+		h.endpoint.Close()
 	})
 }
 
