--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -49,8 +49,8 @@
 	sweepInterval = time.Second
 )
 
-// Life identifies one incarnation of a process: its id, its IP:port and its start time.
-type Life struct {
+// Incarnation identifies one incarnation of a process: its id, its IP:port and its start time.
+type Incarnation struct {
 	ID, Address string
 	Born        int64
 }
@@ -99,7 +99,7 @@
 	meanHandshake atomic.Int64 // running mean of dial and handshake in ns; of two concurrent updates, one may be lost
 
 	mu      sync.Mutex
-	conns   map[Life]*connSet
+	conns   map[Incarnation]*connSet
 	sweptAt time.Time
 }
 
@@ -112,12 +112,12 @@
 // NewPool returns a pool that opens connections with dial and makes at most maxCalls
 // concurrent calls to one incarnation.
 func NewPool(dial linkstats.Dial, maxCalls int) *Pool {
-	return &Pool{dial: dial, maxCalls: maxCalls, conns: make(map[Life]*connSet)}
+	return &Pool{dial: dial, maxCalls: maxCalls, conns: make(map[Incarnation]*connSet)}
 }
 
 // Do makes a call. A *NotSentError means that the call was not and will not be executed;
 // after any other error it may have been executed, or may still be.
-func (p *Pool) Do(ctx context.Context, inc Life, c Call, hs Proof) (Answer, error) {
+func (p *Pool) Do(ctx context.Context, inc Incarnation, c Call, hs Proof) (Answer, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
 		return Answer{}, &NotSentError{Cause: err}
@@ -133,7 +133,7 @@
 
 // Look makes the handshake call for its response: on an idle connection if there is one,
 // otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
-func (p *Pool) Look(ctx context.Context, inc Life, hs Proof) (Answer, error) {
+func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Proof) (Answer, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
 		return Answer{}, &NotSentError{Cause: err}
@@ -150,7 +150,7 @@
 }
 
 // callOn makes a call on a connection, and then releases or closes it.
-func (p *Pool) callOn(ctx context.Context, inc Life, l *persistConn, c Call) (Answer, error) {
+func (p *Pool) callOn(ctx context.Context, inc Incarnation, l *persistConn, c Call) (Answer, error) {
 	resp, err := l.exchange(ctx, time.Now().Add(c.Timeout), c)
 	if err != nil || resp.closeConn {
 		_ = l.conn.Close() // the call's error is returned
@@ -163,7 +163,7 @@
 
 // acquire reserves a call slot and returns an idle connection, or nil if the caller has to
 // open one. Every successful acquire is followed by a release.
-func (p *Pool) acquire(inc Life) (*persistConn, error) {
+func (p *Pool) acquire(inc Incarnation) (*persistConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
@@ -188,7 +188,7 @@
 }
 
 // release frees the call slot and keeps the connection, if l is not nil, for reuse.
-func (p *Pool) release(inc Life, l *persistConn) {
+func (p *Pool) release(inc Incarnation, l *persistConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	set, known := p.conns[inc]
@@ -245,7 +245,7 @@
 
 // connect opens a connection, completes the handshake on it and returns its response. A
 // handshake that leaves the incarnation undetermined is repeated on another connection.
-func (p *Pool) connect(ctx context.Context, inc Life, hs Proof) (*persistConn, Answer, error) {
+func (p *Pool) connect(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Answer, error) {
 	var (
 		l    *persistConn
 		resp Answer
@@ -260,7 +260,7 @@
 	return l, resp, err
 }
 
-func (p *Pool) connectOnce(ctx context.Context, inc Life, hs Proof) (*persistConn, Answer, error) {
+func (p *Pool) connectOnce(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Answer, error) {
 	start := time.Now()
 	timeout := min(max(minHandshakeTimeout, handshakeTimeoutFactor*time.Duration(p.meanHandshake.Load())), maxHandshakeTimeout)
 	dialCtx, cancel := context.WithTimeout(ctx, timeout)
--- a/lifeconn/lifeconn_test.go
+++ b/lifeconn/lifeconn_test.go
@@ -99,7 +99,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := &fakeWorker{answersFrom: c.answersFrom, born: c.born}
 				p := NewPool(d.dial, 4)
-				_, err := p.Do(t.Context(), Life{ID: "i-1", Address: "10.0.0.1:1", Born: 7}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
+				_, err := p.Do(t.Context(), Incarnation{ID: "i-1", Address: "10.0.0.1:1", Born: 7}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
 				if !c.check(err) || d.dials != c.dials {
 					t.Errorf("%d connections, want %d; error %v", d.dials, c.dials, err)
 				}
@@ -150,7 +150,7 @@
 	proof := handshakeFor(1)
 	proof.Check = func(Answer) error { return nil }
 	for range calls {
-		resp, err := p.Do(context.Background(), Life{Address: l.Addr().String()}, Call{Request: request, Timeout: 5 * time.Second}, proof)
+		resp, err := p.Do(context.Background(), Incarnation{Address: l.Addr().String()}, Call{Request: request, Timeout: 5 * time.Second}, proof)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -192,7 +192,7 @@
 	defer p.CloseIdle()
 	proof := handshakeFor(1)
 	proof.Check = func(Answer) error { return nil }
-	inc := Life{Address: strings.TrimPrefix(s.URL, "http://")}
+	inc := Incarnation{Address: strings.TrimPrefix(s.URL, "http://")}
 	for range 20 {
 		if _, err := p.Do(context.Background(), inc, Call{Request: request, Timeout: 5 * time.Second}, proof); err != nil {
 			t.Fatal(err)
@@ -218,7 +218,7 @@
 		ended := make(chan error)
 		for range 3 {
 			go func() {
-				_, err := p.Do(t.Context(), Life{}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
+				_, err := p.Do(t.Context(), Incarnation{}, Call{Request: request, Timeout: time.Second}, handshakeFor(7))
 				ended <- err
 			}()
 		}
