--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -70,7 +70,7 @@
 	// Check returns an error if the response is not from the intended incarnation. After
 	// an error that wraps ErrUnproven, which leaves the incarnation undetermined, the
 	// handshake is repeated on another connection.
-	Check func(Answer) error
+	Check func(Response) error
 }
 
 // ErrUnproven marks failed handshakes that leave the incarnation undetermined.
@@ -117,15 +117,15 @@
 
 // Do makes a call. A *NotSentError means that the call was not and will not be executed;
 // after any other error it may have been executed, or may still be.
-func (p *Pool) Do(ctx context.Context, inc Incarnation, c Call, hs Proof) (Answer, error) {
+func (p *Pool) Do(ctx context.Context, inc Incarnation, c Call, hs Proof) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
-		return Answer{}, &NotSentError{Cause: err}
+		return Response{}, &NotSentError{Cause: err}
 	}
 	if l == nil {
 		if l, _, err = p.connect(ctx, inc, hs); err != nil {
 			p.release(inc, nil)
-			return Answer{}, &NotSentError{Cause: err}
+			return Response{}, &NotSentError{Cause: err}
 		}
 	}
 	return p.callOn(ctx, inc, l, c)
@@ -133,10 +133,10 @@
 
 // Look makes the handshake call for its response: on an idle connection if there is one,
 // otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
-func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Proof) (Answer, error) {
+func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Proof) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
-		return Answer{}, &NotSentError{Cause: err}
+		return Response{}, &NotSentError{Cause: err}
 	}
 	if l != nil {
 		return p.callOn(ctx, inc, l, hs.Call)
@@ -144,13 +144,13 @@
 	l, resp, err := p.connect(ctx, inc, hs)
 	p.release(inc, l)
 	if err != nil {
-		return Answer{}, &NotSentError{Cause: err}
+		return Response{}, &NotSentError{Cause: err}
 	}
 	return resp, nil
 }
 
 // callOn makes a call on a connection, and then releases or closes it.
-func (p *Pool) callOn(ctx context.Context, inc Incarnation, l *persistConn, c Call) (Answer, error) {
+func (p *Pool) callOn(ctx context.Context, inc Incarnation, l *persistConn, c Call) (Response, error) {
 	resp, err := l.exchange(ctx, time.Now().Add(c.Timeout), c)
 	if err != nil || resp.closeConn {
 		_ = l.conn.Close() // the call's error is returned
@@ -245,10 +245,10 @@
 
 // connect opens a connection, completes the handshake on it and returns its response. A
 // handshake that leaves the incarnation undetermined is repeated on another connection.
-func (p *Pool) connect(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Answer, error) {
+func (p *Pool) connect(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Response, error) {
 	var (
 		l    *persistConn
-		resp Answer
+		resp Response
 		err  error
 	)
 	for range handshakeAttempts {
@@ -260,14 +260,14 @@
 	return l, resp, err
 }
 
-func (p *Pool) connectOnce(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Answer, error) {
+func (p *Pool) connectOnce(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Response, error) {
 	start := time.Now()
 	timeout := min(max(minHandshakeTimeout, handshakeTimeoutFactor*time.Duration(p.meanHandshake.Load())), maxHandshakeTimeout)
 	dialCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := p.dial(dialCtx, "tcp", inc.Address)
 	if err != nil {
-		return nil, Answer{}, errors.Mark(err, ErrUnproven)
+		return nil, Response{}, errors.Mark(err, ErrUnproven)
 	}
 	l := newPersistConn(conn)
 	resp, err := l.exchange(ctx, start.Add(timeout), hs.Call)
@@ -281,7 +281,7 @@
 	}
 	if err != nil {
 		_ = conn.Close() // the handshake's error is returned
-		return nil, Answer{}, err
+		return nil, Response{}, err
 	}
 	mean := time.Duration(p.meanHandshake.Load())
 	p.meanHandshake.Store(int64(mean + (time.Since(start)-mean)/handshakeMeanWindow))
--- a/lifeconn/lifeconn_test.go
+++ b/lifeconn/lifeconn_test.go
@@ -34,7 +34,7 @@
 func handshakeFor(born int64) Proof {
 	return Proof{
 		Call: Call{Request: []byte("POST /look HTTP/1.1\r\nHost: i-1\r\nContent-Length: 0\r\n\r\n"), Timeout: time.Second},
-		Check: func(resp Answer) error {
+		Check: func(resp Response) error {
 			if string(resp.Body) != strconv.FormatInt(born, 10) {
 				return errOtherIncarnation
 			}
@@ -117,7 +117,7 @@
 
 // callScriptedServer makes calls through one pool to a server that sends the entries of
 // script on each connection, one per request, and returns the responses.
-func callScriptedServer(t *testing.T, calls int, script ...string) []Answer {
+func callScriptedServer(t *testing.T, calls int, script ...string) []Response {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,9 +146,9 @@
 	}()
 	p := NewPool((&net.Dialer{}).DialContext, 4)
 	defer p.CloseIdle()
-	var out []Answer
+	var out []Response
 	proof := handshakeFor(1)
-	proof.Check = func(Answer) error { return nil }
+	proof.Check = func(Response) error { return nil }
 	for range calls {
 		resp, err := p.Do(context.Background(), Incarnation{Address: l.Addr().String()}, Call{Request: request, Timeout: 5 * time.Second}, proof)
 		if err != nil {
@@ -191,7 +191,7 @@
 	p := NewPool((&net.Dialer{}).DialContext, 4)
 	defer p.CloseIdle()
 	proof := handshakeFor(1)
-	proof.Check = func(Answer) error { return nil }
+	proof.Check = func(Response) error { return nil }
 	inc := Incarnation{Address: strings.TrimPrefix(s.URL, "http://")}
 	for range 20 {
 		if _, err := p.Do(context.Background(), inc, Call{Request: request, Timeout: 5 * time.Second}, proof); err != nil {
--- a/lifeconn/link.go
+++ b/lifeconn/link.go
@@ -27,8 +27,8 @@
 	maxBodyBytes = 8 << 20
 )
 
-// Answer is the response to a call.
-type Answer struct {
+// Response is the response to a call.
+type Response struct {
 	Status    int
 	Body      []byte
 	closeConn bool // the connection can't be reused
@@ -47,19 +47,19 @@
 
 // exchange sends a call and reads its response. It fails when the deadline passes or ctx
 // ends.
-func (l *persistConn) exchange(ctx context.Context, deadline time.Time, c Call) (Answer, error) {
+func (l *persistConn) exchange(ctx context.Context, deadline time.Time, c Call) (Response, error) {
 	if err := l.conn.SetDeadline(deadline); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = l.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	linkstats.Begin(l.conn, c.Kind)
 	if _, err := l.conn.Write(c.Request); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	resp, err := l.readResponse()
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	if !stop() {
 		resp.closeConn = true // ctx has ended: the connection's deadline is in the past, or is being moved there
@@ -105,20 +105,20 @@
 }
 
 // readResponse reads one final response and skips interim ones.
-func (l *persistConn) readResponse() (Answer, error) {
+func (l *persistConn) readResponse() (Response, error) {
 	for {
 		h, err := l.readHeader()
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		if h.status < 200 {
 			continue // an interim response: the final one follows
 		}
 		body, err := l.readBody(&h)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
-		return Answer{Status: h.status, Body: body, closeConn: h.closeConn || l.in.Buffered() > 0}, nil
+		return Response{Status: h.status, Body: body, closeConn: h.closeConn || l.in.Buffered() > 0}, nil
 	}
 }
 
