--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -63,9 +63,9 @@
 	Timeout time.Duration
 }
 
-// Proof is the handshake of a new connection: a call whose response identifies the
+// Handshake is the first call on a new connection, whose response identifies the
 // incarnation. It must be harmless when another incarnation executes it.
-type Proof struct {
+type Handshake struct {
 	Call
 	// Check returns an error if the response is not from the intended incarnation. After
 	// an error that wraps ErrUnproven, which leaves the incarnation undetermined, the
@@ -77,7 +77,7 @@
 var ErrUnproven = errors.New("the response does not identify the incarnation")
 
 // NotSentError reports a call of which no byte was sent, and which therefore was not and
-// will not be executed. Its cause may be the error returned by Proof.Check.
+// will not be executed. Its cause may be the error returned by Handshake.Check.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -117,7 +117,7 @@
 
 // Do makes a call. A *NotSentError means that the call was not and will not be executed;
 // after any other error it may have been executed, or may still be.
-func (p *Pool) Do(ctx context.Context, inc Incarnation, c Call, hs Proof) (Response, error) {
+func (p *Pool) Do(ctx context.Context, inc Incarnation, c Call, hs Handshake) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
 		return Response{}, &NotSentError{Cause: err}
@@ -133,7 +133,7 @@
 
 // Look makes the handshake call for its response: on an idle connection if there is one,
 // otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
-func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Proof) (Response, error) {
+func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Handshake) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
 		return Response{}, &NotSentError{Cause: err}
@@ -245,7 +245,7 @@
 
 // connect opens a connection, completes the handshake on it and returns its response. A
 // handshake that leaves the incarnation undetermined is repeated on another connection.
-func (p *Pool) connect(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Response, error) {
+func (p *Pool) connect(ctx context.Context, inc Incarnation, hs Handshake) (*persistConn, Response, error) {
 	var (
 		l    *persistConn
 		resp Response
@@ -260,7 +260,7 @@
 	return l, resp, err
 }
 
-func (p *Pool) connectOnce(ctx context.Context, inc Incarnation, hs Proof) (*persistConn, Response, error) {
+func (p *Pool) connectOnce(ctx context.Context, inc Incarnation, hs Handshake) (*persistConn, Response, error) {
 	start := time.Now()
 	timeout := min(max(minHandshakeTimeout, handshakeTimeoutFactor*time.Duration(p.meanHandshake.Load())), maxHandshakeTimeout)
 	dialCtx, cancel := context.WithTimeout(ctx, timeout)
--- a/lifeconn/lifeconn_test.go
+++ b/lifeconn/lifeconn_test.go
@@ -31,8 +31,8 @@
 }
 
 // handshakeFor returns the handshake of the incarnation that answers with this start time.
-func handshakeFor(born int64) Proof {
-	return Proof{
+func handshakeFor(born int64) Handshake {
+	return Handshake{
 		Call: Call{Request: []byte("POST /look HTTP/1.1\r\nHost: i-1\r\nContent-Length: 0\r\n\r\n"), Timeout: time.Second},
 		Check: func(resp Response) error {
 			if string(resp.Body) != strconv.FormatInt(born, 10) {
