--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -73,8 +73,8 @@
 	Check func(Response) error
 }
 
-// ErrUnproven marks failed handshakes that leave the incarnation undetermined.
-var ErrUnproven = errors.New("the response does not identify the incarnation")
+// ErrUnverified marks failed handshakes that leave the incarnation undetermined.
+var ErrUnverified = errors.New("the response does not identify the incarnation")
 
 // NotSentError reports a call of which no byte was sent, and which therefore was not and
 // will not be executed. Its cause may be the error returned by Handshake.Check.
@@ -253,7 +253,7 @@
 	)
 	for range handshakeAttempts {
 		l, resp, err = p.connectOnce(ctx, inc, hs)
-		if err == nil || !errors.Is(err, ErrUnproven) || errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil {
+		if err == nil || !errors.Is(err, ErrUnverified) || errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -267,16 +267,16 @@
 	defer cancel()
 	conn, err := p.dial(dialCtx, "tcp", inc.Address)
 	if err != nil {
-		return nil, Response{}, errors.Mark(err, ErrUnproven)
+		return nil, Response{}, errors.Mark(err, ErrUnverified)
 	}
 	l := newPersistConn(conn)
 	resp, err := l.exchange(ctx, start.Add(timeout), hs.Call)
 	switch {
 	case err != nil:
-		err = errors.Mark(err, ErrUnproven)
+		err = errors.Mark(err, ErrUnverified)
 	default:
 		if err = hs.Check(resp); err == nil && resp.closeConn {
-			err = errors.Mark(errNotReusable, ErrUnproven)
+			err = errors.Mark(errNotReusable, ErrUnverified)
 		}
 	}
 	if err != nil {
