--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -131,9 +131,9 @@
 	return p.callOn(ctx, inc, l, c)
 }
 
-// Look makes the handshake call for its response: on an idle connection if there is one,
+// DoHandshake makes the handshake call for its response: on an idle connection if there is one,
 // otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
-func (p *Pool) Look(ctx context.Context, inc Incarnation, hs Handshake) (Response, error) {
+func (p *Pool) DoHandshake(ctx context.Context, inc Incarnation, hs Handshake) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
 		return Response{}, &NotSentError{Cause: err}
