--- a/lifeconn/link.go
+++ b/lifeconn/link.go
@@ -53,7 +53,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = l.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	linkstats.Begin(l.conn, c.Kind)
+	linkstats.BeginCall(l.conn, c.Kind)
 	if _, err := l.conn.Write(c.Request); err != nil {
 		return Response{}, err
 	}
--- a/linkstats/linkstats.go
+++ b/linkstats/linkstats.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// Begin counts a call of a kind on a connection made by Dialer, and attributes the
+// BeginCall counts a call of a kind on a connection made by Dialer, and attributes the
 // connection's bytes from now on to that kind. It ignores other connections.
-func Begin(c net.Conn, kind string) {
+func BeginCall(c net.Conn, kind string) {
 	cc, ok := c.(*conn)
 	if !ok {
 		return
@@ -175,7 +175,7 @@
 func (c *client) RoundTrip(req *http.Request) (*http.Response, error) {
 	kind := kindOf(req.URL.Path)
 	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{
-		GotConn: func(got httptrace.GotConnInfo) { Begin(got.Conn, kind) },
+		GotConn: func(got httptrace.GotConnInfo) { BeginCall(got.Conn, kind) },
 	})
 	return c.next.RoundTrip(req.WithContext(ctx))
 }
