--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -68,7 +68,7 @@
 type Handshake struct {
 	Call
 	// Check returns an error if the response is not from the intended incarnation. After
-	// an error that wraps ErrUnproven, which leaves the incarnation undetermined, the
+	// an error that wraps ErrUnverified, which leaves the incarnation undetermined, the
 	// handshake is repeated on another connection.
 	Check func(Response) error
 }
@@ -131,8 +131,8 @@
 	return p.callOn(ctx, inc, l, c)
 }
 
-// DoHandshake makes the handshake call for its response: on an idle connection if there is one,
-// otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
+// DoHandshake makes the handshake call for its response: on an idle connection if there is
+// one, otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
 func (p *Pool) DoHandshake(ctx context.Context, inc Incarnation, hs Handshake) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
