--- a/lifeconn/lifeconn.go
+++ b/lifeconn/lifeconn.go
@@ -132,7 +132,8 @@
 }
 
 // DoHandshake makes the handshake call for its response: on an idle connection if there is
-// one, otherwise as the handshake of a new connection, whose failure is a *NotSentError too.
+// one, otherwise as the handshake of a new connection. The failure of the latter is a
+// *NotSentError, although the handshake itself may have been sent.
 func (p *Pool) DoHandshake(ctx context.Context, inc Incarnation, hs Handshake) (Response, error) {
 	l, err := p.acquire(inc)
 	if err != nil {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fault is a fault that is injected into the fleet, in most cases for a limited time.
+// fault is a disturbance that is injected into the fleet, some for a limited time.
 type fault struct {
 	name string
 	// inject causes it; what it returns, if anything, ends it.
@@ -113,8 +113,8 @@
 	}
 }
 
-// injectFaults causes random faults of a list until ctx ends, and ends them all. It returns
-// what it did.
+// injectFaults injects random faults of a list until ctx ends, then ends all of them. It
+// returns one line per fault.
 func injectFaults(ctx context.Context, f *fleet, faults []fault, rng *rand.Rand) []string {
 	var (
 		group   sync.WaitGroup
