--- a/sched/admit.go
+++ b/sched/admit.go
@@ -10,12 +10,13 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// RefusedError is the decision not to accept a job. It did not run.
+// RefusedError is the error of a job that admission control rejects. The job
+// did not run.
 type RefusedError struct {
-	Lacks      []string      // what no worker has, or what the specification lacks
-	Waiting    int           // jobs of the team that wait
-	Wait       time.Duration // how long the job would be expected to wait
-	RetryAfter time.Duration // when a repeat may be accepted; zero if it never will
+	Lacks      []string      // why the job can never run; empty if it may run later
+	Waiting    int           // waiting jobs of the team
+	Wait       time.Duration // expected wait of the job
+	RetryAfter time.Duration // delay before a retry may be accepted; zero if it never will be
 }
 
 // Error implements error.
@@ -28,16 +29,16 @@
 }
 
 const (
-	tasksMost     = 100_000 // tasks of one job
+	tasksMost     = 100_000 // per job
 	retryLeast    = time.Second
 	retryMost     = 10 * time.Minute
-	drainPart     = 10 // a repeat may come after one part in so many of the waiting work has started
-	deadlineSlack = 1  // expected waits over so many times the deadline are refused
+	drainPart     = 10 // a retry is suggested once 1/10 of the backlog is expected to have started
+	deadlineSlack = 1  // a job is refused if its expected wait is over this multiple of its deadline
 )
 
-// CheckFit returns a *RefusedError that names what the job lacks if it can
-// never run on the workers that are known, or nil. Without any worker nothing
-// is known, and every well-formed job is let in.
+// CheckFit returns a *RefusedError with the reasons if the job is malformed or
+// can never run on the known workers or within its team's upper limit, and nil
+// otherwise. While no worker is known, worker sizes are not checked.
 func (s *Scheduler) CheckFit(spec work.Spec) error {
 	lacks := malformed(spec)
 	if len(lacks) == 0 && s.cell.Len() > 0 {
@@ -52,6 +53,7 @@
 	return nil
 }
 
+// malformed returns the faults of a specification.
 func malformed(spec work.Spec) []string {
 	var lacks []string
 	if spec.Kind != work.KindBatch && spec.Kind != work.KindGang {
@@ -72,7 +74,7 @@
 	return lacks
 }
 
-// lacks names what keeps a job from ever fitting.
+// lacks returns why the job can never fit on the known workers, or nil.
 func (s *Scheduler) lacks(spec work.Spec) []string {
 	tasks := int64(1)
 	if spec.Kind == work.KindGang {
@@ -88,7 +90,8 @@
 	return tooLarge(spec.Need, s.cell.Largest())
 }
 
-// overLimit names the upper limit if it keeps a job from ever starting.
+// overLimit returns a reason if the job needs more units to start than the
+// upper limit of its team, and nil otherwise.
 func (s *Scheduler) overLimit(spec work.Spec) []string {
 	units := resource.LimitUnits(spec.Need)
 	if spec.Kind == work.KindGang {
@@ -100,7 +103,8 @@
 	return nil
 }
 
-// tooLarge compares a need that fits no worker with the largest amounts.
+// tooLarge returns the resources of which the need is over the largest amount
+// of any worker. The need must fit no worker.
 func tooLarge(need, largest resource.Vector) []string {
 	var lacks []string
 	compare := func(needs, has int64, unit string) {
@@ -117,14 +121,15 @@
 	return lacks
 }
 
-// Admit returns a *RefusedError if the job can never run, if too much of its
-// team waits, or if its deadline would pass while it waits; otherwise nil.
+// Admit returns a *RefusedError if the job can never run, if the backlog of its
+// team is full (Options.MaxWaiting), or if its deadline would pass while it
+// waits. It returns nil otherwise.
 //
-// Refusing a deadline that cannot be kept is what holds goodput under
-// overload: work that would be dropped at its deadline never takes a place in
-// the log and the order of waiting, and its caller learns at once that it did
-// not run. Only the team's own waiting work counts, against the team's share,
-// so that no other team's flood refuses its work.
+// Refusing a job whose deadline cannot be met keeps goodput up under overload:
+// work that would be dropped at its deadline takes no space in the log and the
+// backlog, and the caller knows at once that it did not run. Only the team's own
+// backlog counts, against the team's share, so a flood from another team does
+// not cause refusals.
 func (s *Scheduler) Admit(now time.Duration, spec work.Spec) error {
 	if err := s.CheckFit(spec); err != nil {
 		return err
@@ -147,7 +152,7 @@
 	return refusal
 }
 
-// fitsNow reports whether a task of the job could start at once.
+// fitsNow reports whether a task of the job could start immediately.
 func (s *Scheduler) fitsNow(spec work.Spec) bool {
 	return s.queue.Len() == 0 && s.asked.Pack(place.Compute(spec.Need), place.None) != place.None
 }
--- a/sched/command.go
+++ b/sched/command.go
@@ -9,17 +9,19 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Command is something that the engine has to do. The set is closed.
+// Command is an action that the engine must execute. The set of commands is
+// closed.
 type Command interface{ isCommand() }
 
-// Assign starts an attempt on a worker. Room and limit units are reserved from
-// now on. For a service replica Service is set and no record is needed.
+// Assign starts an attempt on a worker. Its capacity and limit units are
+// reserved already. For a service replica, Service is set and no record is
+// needed.
 type Assign struct {
 	ID      ident.AttemptID
 	Worker  ident.WorkerID
 	Team    ident.TeamID
 	Need    resource.Vector
-	Run     time.Duration // as declared
+	Run     time.Duration // declared run time
 	Limit   time.Duration
 	Payload string
 	Service ident.ServiceID
@@ -32,18 +34,18 @@
 	Control ports.Control
 }
 
-// JobEnded is the end of a job. With OutcomeNotRun nothing of it ever ran.
+// JobEnded reports the end of a job. OutcomeNotRun means that no part of it ran.
 type JobEnded struct {
 	Job     ident.JobID
 	Outcome work.Outcome
-	Failed  bool   // with OutcomeRan: it ran and did not succeed
-	Reason  string // why it failed, did not run or is unknown; empty on success
+	Failed  bool   // with OutcomeRan: it did not succeed
+	Reason  string // why it failed, did not run or has an unknown outcome; empty on success
 }
 
-// Want reports that a team could start more with more units of its limit.
+// Want reports that work of a team is blocked because its limit units ran out.
 type Want struct {
 	Team  ident.TeamID
-	Units int64 // what the first task in the order lacks at most
+	Units int64 // most that can be missing: the units of the blocked task or whole gang
 }
 
 func (Assign) isCommand()   {}
--- a/sched/defaults.go
+++ b/sched/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns the options with zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	if o.Limits == nil {
 		o.Limits = Unlimited{}
@@ -37,7 +37,8 @@
 	}
 }
 
-// doubled returns least doubled once for each earlier time, up to most.
+// doubled returns an exponential backoff: least, doubled once for each earlier
+// attempt, up to most.
 func doubled(least, most time.Duration, earlier int) time.Duration {
 	for delay := least; ; delay *= 2 {
 		if earlier <= 0 || delay >= most {
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,15 +1,15 @@
-// Package sched decides for the durable work of one availability zone: which
-// task starts on which worker, which waits and in what order, which is
-// checkpointed for urgent work, tried again or given up.
+// Package sched schedules the durable jobs and services of one availability
+// zone. It assigns tasks to workers, orders the backlog, preempts running tasks
+// by checkpoint (in the names here: displaces them), and retries failed tasks.
 //
 // The Scheduler is a deterministic state machine without I/O, clock or
-// goroutines: Step takes one event and returns the commands that follow from
-// it. Equal sequences of events give equal sequences of commands. It is not
-// safe for concurrent use; the engine owns it from one goroutine.
+// goroutines: Step takes one event and returns the resulting commands. Equal
+// sequences of events give equal sequences of commands. It is not safe for
+// concurrent use; the engine calls it from one goroutine.
 //
-// An Assign reserves room on the worker and limit units of the team from the
-// moment it is returned. The engine records it, starts it, and reports
+// An Assign reserves capacity on the worker and limit units of the team from
+// the moment it is returned. The engine records it, starts it, and reports
 // AttemptStarted, StartRefused or AttemptEnded. Every Assign is answered by
 // exactly one StartRefused or AttemptEnded, or by the WorkerRemoved of its
-// worker; events for attempts that the scheduler does not know are ignored.
+// worker. Events for unknown attempts are ignored.
 package sched
