--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -10,7 +10,8 @@
 )
 
 // attempt is an assigned attempt of a task, or a replica of a service, that
-// has not ended. It holds room, units and a part of its team's share.
+// has not ended. It occupies worker capacity and limit units and counts toward
+// the share of its team.
 type attempt struct {
 	id      ident.AttemptID
 	job     *job // nil for a replica
@@ -20,29 +21,29 @@
 	units   int64
 
 	worker   place.Ref
-	at       int // among the attempts of the worker
-	since    timeOf
+	at       int    // index in host.attempts
+	since    timeOf // start of the run; before started is set, time of the assignment
 	started  bool
 	expected time.Duration // run time
-	excess   int64         // milli-processors measured above the need
+	excess   int64         // measured milli-cpu above the need
 	stopping ports.Control
-	stopAt   timeOf // when the first control was sent
-	yields   bool   // it was displaced for urgent work or a replica of a service
+	stopAt   timeOf // time of the first control
+	yields   bool   // displaced for urgent work or a service replica
 	over     bool
 }
 
-// ending is how an attempt ended.
+// ending is the result of an attempt.
 type ending struct {
 	refused bool // it did not run
-	pause   bool // with refused: not for a reason that another worker avoids
+	pause   bool // with refused: the worker is not the cause, so the retry waits for a backoff
 	failed  bool
 	stopped bool
-	lost    bool // how far it ran is not known
+	lost    bool // unknown whether and how far it ran
 	reason  string
 	ran     time.Duration
 }
 
-// newAttempt makes the record of the latest attempt of a task.
+// newAttempt creates the open attempt of a task.
 func (s *Scheduler) newAttempt(j *job, index int) *attempt {
 	t := &j.tasks[index]
 	a := &attempt{
@@ -58,7 +59,8 @@
 	return a
 }
 
-// begin counts an attempt whose room and units were taken.
+// begin adds an attempt to its worker, team and job. Its capacity and units are
+// already reserved.
 func (s *Scheduler) begin(a *attempt, ref place.Ref) {
 	h := s.host(ref)
 	a.worker = ref
@@ -73,7 +75,8 @@
 	}
 }
 
-// release gives back what an attempt holds.
+// release removes an attempt from its worker, team and job and frees its
+// capacity and units.
 func (s *Scheduler) release(a *attempt) {
 	a.over = true
 	h := s.host(a.worker)
@@ -97,7 +100,7 @@
 	}
 }
 
-// find returns the open attempt with the identifier, or nil.
+// find returns the open attempt with the ID, or nil.
 func (s *Scheduler) find(id ident.AttemptID) *attempt {
 	if j, ok := s.jobs[id.Job]; ok {
 		if id.Index < 0 || id.Index >= len(j.tasks) {
@@ -152,7 +155,8 @@
 	})
 }
 
-// conclude decides what follows from the end of an attempt that was released.
+// conclude updates the job or service of an attempt that ended: the task is
+// done, retried or failed. The attempt must be released before.
 func (s *Scheduler) conclude(a *attempt, e ending) {
 	if a.service != nil {
 		s.replicaEnded(a, e)
@@ -186,8 +190,8 @@
 	s.settle(j)
 }
 
-// concludeClosed counts an attempt that ended after its job was cancelled or
-// given up.
+// concludeClosed counts an unsuccessful attempt of a job that was cancelled or
+// has failed.
 func (s *Scheduler) concludeClosed(j *job, e ending) {
 	if e.stopped || e.lost {
 		j.uncertain = true
@@ -195,11 +199,11 @@
 	j.failed++
 }
 
-// taskFailed tries a task again after a back-off, or gives it up.
+// taskFailed retries a task after a backoff, or marks it as failed.
 //
-// A task that is not idempotent is never tried again: one that was stopped or
-// lost may have done part of its work, and a second attempt would do that part
-// twice (a doubled approval). Its outcome is then unknown, not "not run".
+// A non-idempotent task is never retried: a stopped or lost attempt may have
+// done part of its work, and a second attempt would repeat that part (for
+// example a duplicate approval). The outcome is then unknown, not "not run".
 func (s *Scheduler) taskFailed(a *attempt, e ending) {
 	j := a.job
 	t := &j.tasks[a.id.Index]
@@ -219,16 +223,17 @@
 	}
 }
 
-// failedMost is the number of tasks of a job that fail for good before the
-// rest is given up, unless more have succeeded.
+// failedMost is the number of finally failed tasks at which a job is closed and
+// its other tasks are not started, unless at least as many have succeeded.
 const failedMost = 3
 
-// ranIntoLimit reports whether the worker stopped the task at its time limit,
-// where another attempt would end in the same way.
+// ranIntoLimit reports whether the task was stopped at its time limit. A retry
+// would end in the same way.
 func (s *Scheduler) ranIntoLimit(j *job, e ending) bool {
 	return j.spec.Limit > 0 && e.stopped && e.ran >= j.spec.Limit
 }
 
+// words returns the reason of an unsuccessful end.
 func (e ending) words() string {
 	switch {
 	case e.reason != "":
@@ -242,12 +247,13 @@
 	}
 }
 
-// tryLater makes a task of a job, or a gang as a whole, wait out a back-off.
+// tryLater queues a task, or a whole gang, again after the delay.
 func (s *Scheduler) tryLater(j *job, index int, delay time.Duration) {
 	j.delayed++
 	s.after(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
 }
 
+// backoffPassed queues a task, or a whole gang, at the end of its backoff.
 func (s *Scheduler) backoffPassed(j *job, index int) {
 	j.delayed--
 	switch {
@@ -261,7 +267,8 @@
 	s.requeue(j)
 }
 
-// stop sends a control that ends an attempt, once.
+// stop sends a control that ends an attempt. It does nothing if the same
+// control, or ControlStop, was sent before.
 func (s *Scheduler) stop(a *attempt, control ports.Control) {
 	if a.stopping == control || a.stopping == ports.ControlStop {
 		return
@@ -282,17 +289,17 @@
 	}
 }
 
-// controlEvery is the time after which a control is sent again.
+// controlEvery is the interval at which a control is resent.
 const controlEvery = 5 * time.Second
 
 func (s *Scheduler) sendControl(a *attempt) {
 	s.emit(Control{ID: a.id, Worker: s.cell.Worker(a.worker).ID, Control: a.stopping})
 }
 
-// repeatControl sends a control again until the attempt has ended. A control
-// can be lost on its way, or meet a worker whose lease is not held at the
-// moment; a cancelled job would then run on, and its caller never get an
-// answer. Controls are idempotent, so one more does no harm.
+// repeatControl resends a control until the attempt has ended. A control can be
+// lost in transit, or arrive while the lease of the worker is not held. Without
+// a resend, a cancelled job would keep running and its caller would never get
+// an answer. Controls are idempotent, so a duplicate has no effect.
 func (s *Scheduler) repeatControl(a *attempt) {
 	if a.over {
 		return
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -7,13 +7,13 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// lookEvery is the time until the other classes of a team with too many
-// different needs are looked at, if nothing else happens.
+// lookEvery is the delay before dispatch runs again after a scan that skipped
+// classes, because a team has too many of them, if no event comes first.
 const lookEvery = 100 * time.Millisecond
 
-// dispatch starts waiting work in its order until nothing that waits can
-// start. Work that does not fit is passed over, so that no room stays free
-// that other work could use, except what a hold keeps.
+// dispatch starts waiting work in queue order until none can start. Work that
+// does not fit is skipped, so capacity that other work can use is not left
+// idle, except on held workers.
 func (s *Scheduler) dispatch() {
 	for {
 		s.startHeld()
@@ -25,7 +25,8 @@
 	s.makeRoom()
 }
 
-// makeRoom looks after work that could not start.
+// makeRoom frees or reserves capacity for work that could not start: it
+// displaces tasks, rebalances the shares and plans holds.
 func (s *Scheduler) makeRoom() {
 	if s.opts.FirstFit {
 		return
@@ -38,7 +39,7 @@
 	s.planHolds()
 }
 
-// startAlike starts jobs of the same class as a job until one cannot start.
+// startAlike starts jobs of the same class as j until one cannot start.
 func (s *Scheduler) startAlike(j *job) {
 	class := j.item.Class()
 	for class != nil && class.Len() > 0 && s.open(class) {
@@ -56,6 +57,7 @@
 	}
 }
 
+// first returns the next job in the queue whose class might start, or nil.
 func (s *Scheduler) first() *queue.Item[*job] {
 	if s.opts.FirstFit {
 		return s.queue.Oldest(s.openFunc)
@@ -63,8 +65,8 @@
 	return s.queue.First(s.openFunc)
 }
 
-// open reports whether the head of a class might start: its team's units were
-// not refused, and room came free since it last failed to fit.
+// open reports whether the head of a class might start: the units of its team
+// are not refused, and capacity was freed since the class last failed to fit.
 func (s *Scheduler) open(class *queue.Class[*job]) bool {
 	if class.Mark != 0 && !s.mayFit(class) {
 		return false
@@ -72,8 +74,8 @@
 	return !s.blocked(class.Head().Owner.team, class.Shape.Units)
 }
 
-// mayFit reports whether room came free since a class was marked that could
-// take one of its tasks.
+// mayFit reports whether capacity that was freed since the class was marked may
+// fit one of its tasks.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
 	position := s.cell.Freed()
 	if class.Mark == position {
@@ -86,10 +88,11 @@
 	return false
 }
 
-// limited reports whether the upper limit of its team stops a job.
+// limited reports whether the upper limit of its team blocks a job.
 func (s *Scheduler) limited(j *job) bool { return s.blocked(j.team, j.startUnits()) }
 
-// startUnits returns the units that the job needs to start anything.
+// startUnits returns the limit units that the job needs to start: those of one
+// task, or of all tasks of a gang.
 func (j *job) startUnits() int64 {
 	if j.gang() {
 		return j.units * int64(j.spec.Tasks)
@@ -97,8 +100,9 @@
 	return j.units
 }
 
-// start starts one task of a job, or all of a gang. If there is no room it
-// marks the class of the job.
+// start starts one task of a job, or all tasks of a gang. If it does not fit,
+// start marks the class of the job with the current position in the log of
+// freed capacity.
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
 		if !s.placeGang(j) && !s.limited(j) {
@@ -122,7 +126,8 @@
 	s.started(j)
 }
 
-// look returns a worker that takes one task of the job now, or place.None.
+// look returns a worker on which a task of the job fits now, or place.None.
+// The worker avoid is the last choice.
 func (s *Scheduler) look(j *job, avoid place.Ref) place.Ref {
 	if s.opts.FirstFit {
 		return s.placer.FirstFit(j.need)
@@ -133,8 +138,8 @@
 	return s.placer.Pack(j.need, avoid)
 }
 
-// assign starts the next task of a job on a worker where its room and units
-// are taken.
+// assign starts the next task of a job on a worker. Its capacity and units are
+// already reserved.
 func (s *Scheduler) assign(j *job, ref place.Ref) {
 	index := j.take()
 	j.tasks[index].attempts++
@@ -152,15 +157,15 @@
 	})
 }
 
-// trial bars a worker that comes back from a quarantine until the task that
-// was just placed on it has ended.
+// trial bars a worker that returns from quarantine until the task that was just
+// assigned to it has ended.
 func (s *Scheduler) trial(ref place.Ref) {
 	if s.host(ref).onTrial() {
 		s.cell.Bar(ref, place.BarProbing)
 	}
 }
 
-// started updates the order of waiting after tasks of the job were assigned.
+// started updates the queue after tasks of the job were assigned.
 func (s *Scheduler) started(j *job) {
 	s.predictionDue(j)
 	s.weigh(j)
