--- a/sched/displace.go
+++ b/sched/displace.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	displaceMost  = 64                     // tasks of one class for which room is made at once
-	displaceEvery = 100 * time.Millisecond // shortest time between two looks that found nothing
+	displaceMost  = 64                     // tasks of one class for which capacity is freed at once
+	displaceEvery = 100 * time.Millisecond // least delay before the next search after one that found no victim
 )
 
-// displaceable reports whether an attempt may be checkpointed for urgent work.
-// Work that is not idempotent never is, because it is never attempted twice.
+// displaceable reports whether an attempt may be checkpointed to free capacity
+// for other work. Non-idempotent work never may, because it is never attempted
+// twice.
 func (s *Scheduler) displaceable(a *attempt) bool {
 	if a.job == nil || a.stopping != "" || a.job.gang() {
 		return false
@@ -29,31 +30,31 @@
 	return a.displaced() < s.opts.MaxDisplaced
 }
 
-// displaced returns how often the task of an attempt was displaced.
+// displaced returns how many times the task of an attempt was displaced.
 func (a *attempt) displaced() int { return int(a.job.tasks[a.id.Index].displaced) }
 
-// emptying is a worker on which tasks are being checkpointed. Until those have
-// ended it is held for a replica of a service, for work of one team or, if
-// neither is set, for urgent work.
+// emptying is a worker on which tasks are being checkpointed. Until they have
+// ended, the worker is held for a replica of a service, for work of one team or,
+// if neither is set, for urgent work.
 type emptying struct {
 	worker  place.Ref
-	until   timeOf // no longer than this
+	until   timeOf // latest end of the hold
 	team    *team
 	service *service
 }
 
 // emptyMost bounds how long a worker is held while tasks on it are being
-// checkpointed. A worker that cannot checkpoint would be idle for ever.
+// checkpointed. Without the bound, a worker that cannot checkpoint would be
+// held forever.
 const emptyMost = 30 * time.Second
 
-// filter chooses among the attempts that may be displaced. A nil filter takes
-// all.
+// filter selects among the displaceable attempts. A nil filter selects all.
 type filter func(*attempt) bool
 
-// displace makes room for work that does not fit, by checkpointing
-// displaceable tasks: those of any team for urgent work, and those of the same
-// team for work whose deadline comes near. The second leaves every share as it
-// is, so it needs no bound on the share.
+// displace frees capacity for work that does not fit by checkpointing
+// displaceable tasks: tasks of any team for urgent work, and tasks of the same
+// team for work near its deadline. The second does not change the share of any
+// team, so it needs no bound on the share.
 func (s *Scheduler) displace() {
 	if s.now < s.displaceAt {
 		return
@@ -74,11 +75,12 @@
 	}
 }
 
-// nearPart is the part of its wait that is left when a deadline is near.
+// nearPart defines when a deadline is near: when 1/nearPart (half) of the time
+// between acceptance and deadline is over.
 const nearPart = 2
 
-// nearDeadline reports whether half of the time until the deadline of the head
-// of a class has passed.
+// nearDeadline reports whether the head of a class, which has failed to fit, is
+// near its deadline. Urgent work and gangs are left out.
 func (s *Scheduler) nearDeadline(class *queue.Class[*job]) bool {
 	if class.Shape.Urgent || class.Mark == 0 {
 		return false
@@ -87,8 +89,9 @@
 	return j.spec.Deadline > 0 && !j.gang() && s.now >= j.accepted+j.spec.Deadline/nearPart
 }
 
-// displaceFor makes room for the waiting tasks of a class, where it may be used
-// by one team or, if that is nil, by urgent work.
+// displaceFor frees capacity for the waiting tasks of a class by displacing the
+// attempts that from selects. The workers are held for the team use or, if that
+// is nil, for urgent work; for a gang they are held for the job itself.
 func (s *Scheduler) displaceFor(class *queue.Class[*job], use *team, from filter) {
 	j := class.Head().Owner
 	if s.limited(j) || j.hold != nil {
@@ -123,7 +126,8 @@
 	s.empty(workers, emptying{team: use})
 }
 
-// empty holds workers on which tasks are being checkpointed.
+// empty holds workers on which tasks are being checkpointed, for the work that
+// use names.
 func (s *Scheduler) empty(workers []place.Ref, use emptying) {
 	use.until = s.now + emptyMost
 	s.after(timer{at: use.until, kind: timerWake})
@@ -135,7 +139,7 @@
 	}
 }
 
-// mayUse reports whether a worker is being emptied for work like the job.
+// mayUse reports whether the worker is held for work such as the job.
 func (e emptying) mayUse(j *job) bool {
 	switch {
 	case e.service != nil:
@@ -147,16 +151,16 @@
 	}
 }
 
-// comingFor is how long after its checkpoint was sent the room of a task is
-// counted on.
+// comingFor is how long the capacity of a task counts as about to be freed after
+// its first control was sent.
 const comingFor = time.Second
 
-// comingRoom returns how many tasks of the job fit on the workers where room is
-// being made for it, once it is.
+// comingRoom returns how many tasks of the job will fit on the workers that are
+// held for it, once the tasks that are being stopped have ended.
 //
-// It guards against a task that does not stop: urgent work would wait for its
-// room, for as long as the worker is held, while other tasks could be displaced.
-// Room that has not come in a second is counted on no more.
+// A task that does not stop within comingFor (1 s) no longer counts. Otherwise
+// urgent work would wait for its capacity for as long as the worker is held,
+// although other tasks could be displaced.
 func (s *Scheduler) comingRoom(j *job, most int64) int64 {
 	coming := int64(0)
 	for _, e := range s.making {
@@ -174,8 +178,8 @@
 	return coming
 }
 
-// victims returns the workers on which the least has to be displaced for the
-// wanted number of tasks, and for how many of them there is enough.
+// victims returns the workers on which the least capacity must be displaced to
+// fit the wanted number of tasks, and how many tasks will fit on them.
 func (s *Scheduler) victims(need resource.Vector, from filter, wanted int64) ([]place.Ref, int64) {
 	var workers []place.Ref
 	for i := range s.hosts {
@@ -202,7 +206,8 @@
 	return workers, found
 }
 
-// displaceableOn returns how much could be displaced on a worker.
+// displaceableOn returns the sum of the needs of the attempts on a worker that
+// are displaceable and that from selects.
 func (s *Scheduler) displaceableOn(ref place.Ref, from filter) resource.Vector {
 	h := s.host(ref)
 	if from == nil || h.displaceable.IsZero() {
@@ -217,8 +222,9 @@
 	return sum
 }
 
-// checkpoint displaces tasks on a worker until one task of the need fits:
-// those first that were displaced least and have run least.
+// checkpoint displaces tasks on a worker until one task of the need fits. Tasks
+// that were displaced the fewest times come first, then those that have run the
+// shortest time.
 func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, from filter) {
 	var victims []*attempt
 	for _, a := range s.host(ref).attempts {
@@ -245,17 +251,16 @@
 	}
 }
 
-// helps reports whether a victim frees any resource that is short.
+// helps reports whether a victim frees any of the resources that the need lacks.
 func helps(need, room, victim resource.Vector) bool {
 	return (need.MilliCPU > room.MilliCPU && victim.MilliCPU > 0) ||
 		(need.MemoryMiB > room.MemoryMiB && victim.MemoryMiB > 0) ||
 		(need.Accelerators > room.Accelerators && victim.Accelerators > 0)
 }
 
-// endDisplacements gives workers back to all work once every displaced task
-// on them has ended, or took too long, and the work that they were held for had
-// its turn. It reports whether it gave
-// any back.
+// endDisplacements releases the held workers on which every displaced task has
+// ended, or was not stopped in time. Dispatch has offered them before to the
+// work that they were held for. It reports whether any worker was released.
 func (s *Scheduler) endDisplacements() bool {
 	before := len(s.making)
 	s.making = slices.DeleteFunc(s.making, func(e emptying) bool {
@@ -268,7 +273,7 @@
 	return len(s.making) < before
 }
 
-// stopsSome reports whether attempts on a worker are being stopped.
+// stopsSome reports whether any attempt on a worker is being stopped.
 func (s *Scheduler) stopsSome(ref place.Ref) bool {
 	return slices.ContainsFunc(s.host(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
 }
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -5,9 +5,9 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// placeGang reserves room for all tasks of a gang, or for none, and assigns
-// them. One scheduler decides for the whole zone in one step, so two gangs
-// never hold parts of what the other needs.
+// placeGang reserves capacity for all tasks of a gang, or for none, and assigns
+// them. One scheduler places the whole gang in one step, so two gangs cannot
+// deadlock by each holding capacity that the other needs.
 func (s *Scheduler) placeGang(j *job) bool {
 	refs := s.reserveGang(j)
 	if refs == nil {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// reserveGang returns a worker for each task of the gang, with the room
+// reserveGang returns a worker for each task of the gang, with the capacity
 // reserved, or nil. The slice is valid until the next call.
 func (s *Scheduler) reserveGang(j *job) []place.Ref {
 	n := j.spec.Tasks
@@ -48,7 +48,8 @@
 	return refs
 }
 
-// reserveHeld reserves as much as fits on the workers held for the job.
+// reserveHeld reserves capacity for as many tasks as fit on the workers held for
+// the job and appends their workers to refs.
 func (s *Scheduler) reserveHeld(j *job, refs []place.Ref) []place.Ref {
 	for _, ref := range j.hold.workers {
 		if s.cell.Worker(ref).Bars&^place.BarHeld != 0 {
@@ -61,7 +62,7 @@
 	return refs
 }
 
-// undo gives back reservations that no attempt uses.
+// undo cancels reservations that no attempt uses.
 func (s *Scheduler) undo(refs []place.Ref, j *job) {
 	for _, ref := range refs {
 		s.cell.Undo(ref, j.need)
@@ -69,9 +70,8 @@
 	s.gangRefs = refs[:0]
 }
 
-// concludeGang counts the end of one attempt of a gang. A gang is worth
-// nothing without all its tasks, so one that fails stops the others, and the
-// whole gang is tried again.
+// concludeGang handles the end of one attempt of a gang. A gang needs all its
+// tasks, so a failed attempt stops the others, and the whole gang is retried.
 func (s *Scheduler) concludeGang(a *attempt, e ending) {
 	j := a.job
 	if !e.failed && !e.stopped && !e.lost && !e.refused {
@@ -93,8 +93,8 @@
 	s.stopAttempts(j)
 }
 
-// endRound follows when every attempt of a broken gang has ended: the gang
-// waits for another round, or is given up.
+// endRound retries a broken gang after a backoff, or closes it. It is called
+// when all its attempts have ended.
 func (s *Scheduler) endRound(j *job) {
 	if j.faulty {
 		j.failures++
@@ -112,7 +112,7 @@
 	s.tryLater(j, 0, doubled(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
 }
 
-// readyGang makes all tasks of a gang wait for their next attempt.
+// readyGang queues all tasks of a gang for their next attempt.
 func (s *Scheduler) readyGang(j *job) {
 	j.ready = j.ready[:0]
 	for i := range j.tasks {
@@ -121,8 +121,9 @@
 	}
 }
 
-// restoreGang checks a gang after a takeover. One of which only a part was
-// assigned, or a part has failed, cannot go on.
+// restoreGang checks a gang after a takeover of leadership. If some of its tasks
+// are neither running nor done, the gang cannot complete: the running ones are
+// stopped and the gang is marked as broken.
 func (s *Scheduler) restoreGang(j *job) {
 	if j.open+j.done == j.spec.Tasks {
 		return
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -8,34 +8,36 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// Work that needs much room at once starves behind small work: whatever comes
-// free is taken by a small task before enough is free together. A hold keeps
-// the workers on which a job is planned to fit first; on them only work runs
-// that is expected to end before the planned start. Holds are few and end
-// after Options.HoldFor, so that a wrong plan costs a bounded amount of room.
+// Work that needs much capacity at once can starve behind small work: small
+// tasks take any freed capacity before enough of it is free together. A hold
+// reserves the workers on which a job is planned to fit first; other work starts
+// there only if it is expected to end before the planned start. The number of
+// holds is limited and each ends after Options.HoldFor, which bounds the
+// capacity that a wrong plan wastes.
 const (
 	maxHolds  = 4
-	planEvery = time.Second // shortest time between two rounds of planning
-	bulkyPart = 4           // a task is bulky from this part of the largest worker
-
-	// A plan walks through the ends of everything that runs. In a zone of 8,000
-	// tasks where the first jobs of 250 teams fit on no worker that services
-	// leave free, planning for all of them each second took a third of a
-	// processor, and nothing came of it.
-	maxPlans  = maxHolds         // new plans of one round
-	planPause = 10 * time.Second // before a job is planned again that fits nowhere
+	planEvery = time.Second // least time between two rounds of planning
+	bulkyPart = 4           // a task is bulky if at most this many fit on the largest worker
+
+	// A plan iterates over the expected ends of all running attempts. In a zone of
+	// 8,000 tasks, where services left no worker with enough capacity for the first
+	// jobs of 250 teams, planning for all of them each second used a third of a
+	// processor without any result.
+	maxPlans  = maxHolds         // new plans per round
+	planPause = 10 * time.Second // delay before a job that fits nowhere is planned again
 )
 
-// hold keeps workers for one job.
+// hold is a reservation of workers for one job.
 type hold struct {
 	job     *job
 	workers []place.Ref
 	at      timeOf // planned start
 	first   timeOf // planned start when the hold was made
-	urgent  bool   // room is made by displacing; nothing else may use it
+	urgent  bool   // capacity is being freed by displacement; no other work may use it
 }
 
-// bulky reports whether a job may starve behind small work.
+// bulky reports whether a job may starve behind small work: it is a gang, or its
+// tasks are large compared with the largest worker.
 func (s *Scheduler) bulky(j *job, largest *place.Worker) bool {
 	if j.gang() {
 		return true
@@ -43,8 +45,8 @@
 	return largest != nil && place.Count(j.need, largest.Size, bulkyPart+1) <= bulkyPart
 }
 
-// planHolds adjusts the plans of the holds and makes new ones, at most once in
-// planEvery.
+// planHolds updates the planned starts of the holds and adds new holds, at most
+// once per planEvery.
 func (s *Scheduler) planHolds() {
 	if s.opts.Hold == HoldNone || (s.queue.Len() == 0 && len(s.holds) == 0) {
 		return
@@ -81,12 +83,12 @@
 	}
 }
 
-// unlimited reports whether the upper limit lets a class start.
+// unlimited reports whether the upper limit allows the head of a class to start.
 func (s *Scheduler) unlimited(class *queue.Class[*job]) bool {
 	return !s.limited(class.Head().Owner)
 }
 
-// ripe reports whether room may be held for the first job of a team now.
+// ripe reports whether workers may be held now for j, the first job of its team.
 func (s *Scheduler) ripe(j *job) bool {
 	t := j.team
 	if t.headJob != j {
@@ -98,7 +100,8 @@
 	return s.queue.Share(t.Team) <= s.queue.Entitled(t.Team)
 }
 
-// plan holds the workers on which the job is planned to start first.
+// plan holds the workers on which the job is expected to fit first. It adds no
+// further hold if more than half of all workers would then be held.
 func (s *Scheduler) plan(j *job) {
 	at, workers, ok := s.planner.earliest(s, j, 0)
 	if !ok {
@@ -115,6 +118,7 @@
 	s.hold(&hold{job: j, workers: workers, at: at, first: at})
 }
 
+// hold adds a hold and bars its workers for other work.
 func (s *Scheduler) hold(h *hold) {
 	for _, ref := range h.workers {
 		s.cell.Bar(ref, place.BarHeld)
@@ -124,8 +128,8 @@
 	s.after(timer{at: s.now + s.opts.HoldFor, kind: timerHold, hold: h})
 }
 
-// endHold gives the workers of a hold back to all work. It does nothing for
-// nil.
+// endHold releases the workers of a hold. It does nothing for nil or for a hold
+// that has ended.
 func (s *Scheduler) endHold(h *hold) {
 	if h == nil || h.job.hold != h {
 		return
@@ -138,8 +142,8 @@
 	s.dirty = true
 }
 
-// holdPassed ends a hold that lasted too long; for as long again none is made
-// for the job.
+// holdPassed ends a hold that has reached Options.HoldFor. The job gets no other
+// hold for the same time.
 func (s *Scheduler) holdPassed(h *hold) {
 	if h.job.hold != h {
 		return
@@ -148,7 +152,7 @@
 	s.endHold(h)
 }
 
-// dropHolds ends the holds that count on a worker that goes.
+// dropHolds ends the holds that include a worker that is being removed.
 func (s *Scheduler) dropHolds(ref place.Ref) {
 	for _, h := range slices.Clone(s.holds) {
 		if slices.Contains(h.workers, ref) {
@@ -158,7 +162,7 @@
 	s.making = slices.DeleteFunc(s.making, func(e emptying) bool { return e.worker == ref })
 }
 
-// startHeld starts the jobs whose held workers have enough room.
+// startHeld starts the jobs that fit on the workers held for them.
 func (s *Scheduler) startHeld() {
 	for i := 0; i < len(s.holds); {
 		h := s.holds[i]
@@ -171,6 +175,8 @@
 	}
 }
 
+// heldRoom reports whether the job of a hold fits on the held workers: one task,
+// or all tasks of a gang.
 func (s *Scheduler) heldRoom(h *hold) bool {
 	missing := int64(1)
 	if h.job.gang() {
@@ -188,7 +194,10 @@
 	return false
 }
 
-// lookHeld returns a held worker that the job may use, or place.None.
+// lookHeld returns a held worker on which a task of the job may start, or
+// place.None. The worker is held for the job, for work such as the job, or, with
+// HoldPlanned, for a job whose planned start is after the expected end of the
+// task.
 func (s *Scheduler) lookHeld(j *job) place.Ref {
 	if j.hold != nil {
 		return s.placer.PackIn(j.hold.workers, place.BarHeld, j.need)
