--- a/sched/event.go
+++ b/sched/event.go
@@ -9,42 +9,43 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Event is something that happened. The set of events is closed.
+// Event is an input to the scheduler. The set of events is closed.
 type Event interface{ isEvent() }
 
-// WorkerAdded reports that the compute lease of a worker is held from now on.
-// For a worker that is known already it updates size and rack, and ends a
-// cordon and a planned removal; if the removal still stands, WorkerLeaving has
-// to follow. A worker that shrank keeps what it runs and takes nothing new until
-// it is within its size.
+// WorkerAdded reports that the compute lease of a worker is now held. For a
+// known worker it updates size and rack, and ends a cordon and a planned
+// removal; if the removal is still planned, WorkerLeaving must follow. A worker
+// whose size was reduced keeps its running attempts and gets no new ones until
+// they fit the new size.
 type WorkerAdded struct {
 	Worker ident.WorkerID
 	Rack   string
 	Size   resource.Vector // slots and connections are ignored
 }
 
-// WorkerRemoved reports that nothing that was started on the worker can run
-// any longer. Attempts on it that have not been reported as ended are lost:
-// idempotent work is tried again, other work ends as OutcomeUnknown.
+// WorkerRemoved reports that no attempt on the worker can still be running.
+// Attempts whose end was not reported are lost: idempotent work is retried,
+// other work ends with OutcomeUnknown.
 type WorkerRemoved struct {
 	Worker ident.WorkerID
 }
 
-// WorkerLeaving reports a planned removal. The worker takes nothing new;
-// service replicas are replaced elsewhere and then stopped, displaceable tasks
-// are checkpointed, everything else runs to its end.
+// WorkerLeaving reports a planned removal and drains the worker. It gets no new
+// work; service replicas are stopped after a replacement has started on another
+// worker, displaceable tasks are checkpointed, and all other tasks run to
+// completion.
 type WorkerLeaving struct {
 	Worker ident.WorkerID
 }
 
-// WorkerCordoned starts or ends a cordon, for instance while the control lease
-// is not held: the worker takes nothing new and keeps what it runs.
+// WorkerCordoned starts or ends a cordon, for example while the control lease is
+// not held. A cordoned worker gets no new work and keeps its running attempts.
 type WorkerCordoned struct {
 	Worker   ident.WorkerID
 	Cordoned bool
 }
 
-// JobAccepted reports a job that is in the log. Age is how long ago it was
+// JobAccepted reports a new job in the log. Age is the time since it was
 // accepted.
 type JobAccepted struct {
 	Job  ident.JobID
@@ -52,25 +53,26 @@
 	Age  time.Duration
 }
 
-// RestoredTask is what the log and the workers know of one task of a restored
-// job. Tasks that were never attempted need no entry.
+// RestoredTask is the state of one task of a restored job, from the log and the
+// workers. Tasks that were never attempted need no entry.
 type RestoredTask struct {
 	Index     int
-	Attempts  int            // attempts assigned so far, the running one included
-	Refused   int            // of these, attempts that truly did not run
+	Attempts  int            // attempts assigned so far, including the running one
+	Refused   int            // of these, attempts that certainly did not run
 	Displaced int            // of these, attempts that were displaced
-	Done      bool           // it ended without failure
-	Failed    bool           // its last attempt failed and no further one may follow
+	Done      bool           // it succeeded
+	Failed    bool           // its last attempt failed and must not be retried
 	Reason    string         // with Failed
-	Running   bool           // the last attempt runs, or may run, on Worker
+	Running   bool           // the last attempt runs, or may still run, on Worker
 	Started   bool           // with Running: the worker has reported it as running
 	Worker    ident.WorkerID // with Running
 	Ran       time.Duration  // with Running: run time so far
 }
 
-// JobRestored reports a job found in the log after a takeover. Workers named
-// in Tasks must have been added before. The limit units of running tasks must
-// be in use in the Limits already; the scheduler gives them back when they end.
+// JobRestored reports a job found in the log after a takeover of leadership. The
+// workers named in Tasks must have been added before. The limit units of running
+// tasks must already be in use in the Limits; the scheduler returns them when
+// the tasks end.
 type JobRestored struct {
 	Job   ident.JobID
 	Spec  work.Spec
@@ -78,19 +80,19 @@
 	Tasks []RestoredTask
 }
 
-// JobCancelled reports that a caller withdrew a job.
+// JobCancelled reports that a caller cancelled a job.
 type JobCancelled struct {
 	Job ident.JobID
 }
 
-// AttemptStarted reports that the worker runs the attempt.
+// AttemptStarted reports that the worker is running the attempt.
 type AttemptStarted struct {
 	ID ident.AttemptID
 }
 
-// StartRefused reports that an attempt truly did not run: the worker refused
-// it, or the call was never sent, or the record was not written. The task
-// waits again and the attempt does not count.
+// StartRefused reports that an attempt certainly did not run: the worker refused
+// it, the call was never sent, or the record was not written. The task is queued
+// again and the attempt does not count.
 type StartRefused struct {
 	ID     ident.AttemptID
 	Reason ports.Refusal // empty if the worker is not the cause
@@ -101,24 +103,25 @@
 	ID      ident.AttemptID
 	Failed  bool // ended without success
 	Stopped bool // stopped or checkpointed by a control, or by the worker
-	Unknown bool // whether it ran at all, and how far, is not known
+	Unknown bool // unknown whether and how far it ran
 	Reason  string
 	Ran     time.Duration
-	Usage   resource.Vector // measured; zero if not known
+	Usage   resource.Vector // measured; zero if unknown
 }
 
-// UsageReported is a measurement of a running attempt. It lags, and is used to
-// rank workers and predict starts, never to admit more than is declared.
+// UsageReported is a measurement of a running attempt. It arrives with a delay
+// and is used for scoring workers and predicting starts, never to place more
+// than the declared needs allow.
 type UsageReported struct {
 	ID    ident.AttemptID
 	Ran   time.Duration
 	Usage resource.Vector
 }
 
-// ServiceDeclared sets the wanted replicas of a service. Job numbers the
-// replicas that this scheduler starts; it is minted by the engine and must be
-// new when a service is first declared to this scheduler. A changed Need
-// applies to replicas that start later.
+// ServiceDeclared sets the desired number of replicas of a service. Job is the
+// job ID of the replicas that this scheduler starts; the engine creates it, and
+// it must be new when the service is first declared to this scheduler. A changed
+// Need applies to replicas that start later.
 type ServiceDeclared struct {
 	Service  ident.ServiceID
 	Job      ident.JobID
@@ -128,8 +131,8 @@
 }
 
 // ReplicaRestored reports a running replica of a declared service, found on a
-// worker after a takeover. Its limit units must be in use already. A replica
-// of a service that is not declared is stopped.
+// worker after a takeover of leadership. Its limit units must already be in use.
+// A replica of an undeclared service is stopped.
 type ReplicaRestored struct {
 	Service ident.ServiceID
 	Team    ident.TeamID
@@ -138,32 +141,34 @@
 	Need    resource.Vector
 }
 
-// ServiceRemoved stops all replicas of a service.
+// ServiceRemoved reports that a service was removed. All its replicas are
+// stopped.
 type ServiceRemoved struct {
 	Service ident.ServiceID
 }
 
-// Team is the share of a team and its upper limit. The limit is kept behind
-// Limits; here it only serves to refuse work that is over it.
+// Team is the weight of a team and its upper limit. Limits enforces the limit;
+// here it only serves to refuse work that can never fit it.
 type Team struct {
 	ID     ident.TeamID
-	Weight int64 // of its share, at least one
-	Limit  int64 // units over the fleet; zero for none
+	Weight int64 // weight of its fair share, at least one
+	Limit  int64 // units in the whole fleet; zero for no limit
 }
 
-// TeamsChanged replaces the teams and their weights. Teams that are not listed
-// count with weight one and without limit.
+// TeamsChanged replaces the weights and limits of all teams. Teams that are not
+// listed have weight one and no limit.
 type TeamsChanged struct {
 	Teams []Team
 }
 
-// LimitChanged reports that more units of a team may be available.
+// LimitChanged reports that more limit units of a team may be available.
 type LimitChanged struct {
 	Team ident.TeamID
 }
 
-// Tick lets time pass: deadlines, back-off, quarantines and holds are due at
-// the time that Next names. Every other event lets time pass as well.
+// Tick advances the time. It is due at the time that Next returns, when a
+// deadline, backoff, quarantine or hold ends. Every other event advances the
+// time as well.
 type Tick struct{}
 
 func (WorkerAdded) isEvent()     {}
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -9,35 +9,35 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// JobState is where a job stands.
+// JobState is the state of a job.
 type JobState string
 
 // The states of a job.
 const (
-	StateUnknown JobState = "unknown" // not known to this scheduler
-	StateWaiting JobState = "waiting" // no task runs
-	StateRunning JobState = "running" // at least one task runs
+	StateUnknown JobState = "unknown" // ended, or unknown to this scheduler
+	StateWaiting JobState = "waiting" // no task is running
+	StateRunning JobState = "running" // at least one task is running
 )
 
-// Rejection counts the workers that one filter turned away.
+// Rejection is the number of workers that one feasibility check rejected.
 type Rejection struct {
 	Filter  string
 	Workers int
 }
 
-// Placement is where a task runs and what is expected of it.
+// Placement is the running attempt of a task and its worker.
 type Placement struct {
 	ID       ident.AttemptID
 	Worker   ident.WorkerID
 	Rack     string
 	Ran      time.Duration
-	EndsIn   time.Duration // expected
-	Free     resource.Vector
-	Size     resource.Vector
+	EndsIn   time.Duration   // expected
+	Free     resource.Vector // of the worker
+	Size     resource.Vector // of the worker
 	Stopping bool
 }
 
-// Explanation says why a job waits, or where it was placed.
+// Explanation describes why a job waits, or where it runs.
 type Explanation struct {
 	Job     ident.JobID
 	State   JobState
@@ -46,36 +46,36 @@
 	Need    resource.Vector
 	Tasks   int
 	Done    int
-	Waiting int           // tasks that wait
-	Delayed int           // tasks that wait out a back-off
+	Waiting int           // tasks in the queue
+	Delayed int           // tasks in backoff
 	Waited  time.Duration // since the job was accepted
 
-	Workers    int // that are known
-	Feasible   int // workers that could take one task now
+	Workers    int // known workers
+	Feasible   int // workers on which one task fits now
 	Rejections []Rejection
-	Held       int // workers that are held for the job
+	Held       int // workers held for the job
 
-	Ahead       int     // jobs of the team that come earlier in the order
+	Ahead       int     // jobs of the team that come earlier in the queue
 	Share       float64 // dominant share of the zone that the team uses
-	Entitled    float64 // share that the team may expect while the zone is full
-	LimitUnits  int64   // units of the team's limit that the job needs to start
-	UnitsInUse  int64   // units that the team uses in this zone
-	LimitBlocks bool    // the team's upper limit is what stops the job
+	Entitled    float64 // fair share of the team while the zone is full
+	LimitUnits  int64   // limit units that the job needs to start
+	UnitsInUse  int64   // limit units that the team uses in this zone
+	LimitBlocks bool    // the upper limit of the team blocks the job
 
 	Predicted   bool
 	PredictedIn time.Duration // predicted time until the start
 	Accuracy    Accuracy      // of recent predictions
 
-	Attempts    int // assigned so far, over all tasks
+	Attempts    int // assigned so far, for all tasks
 	LastFailure string
 	Placements  []Placement // at most placementsMost
 }
 
-// placementsMost bounds the placements of one explanation.
+// placementsMost is the maximum number of placements in one explanation.
 const placementsMost = 16
 
-// Explain says why a job waits, or where it was placed. It looks at every
-// worker, so it is for operators and not for the path of a placement.
+// Explain returns why a job waits, or where it runs. It checks every worker, so
+// it is meant for operators and must not be called on the placement path.
 func (s *Scheduler) Explain(now time.Duration, id ident.JobID) Explanation {
 	s.now = max(s.now, now)
 	j, ok := s.jobs[id]
