--- a/sched/attempt_test.go
+++ b/sched/attempt_test.go
@@ -10,7 +10,7 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// zone returns a world with n workers of 8 cores, two to a rack.
+// zone returns a world with n workers of 8 cores, two per rack.
 func zone(t *testing.T, n int, opts Options) *world {
 	t.Helper()
 	w := newWorld(t, opts)
@@ -20,10 +20,10 @@
 	return w
 }
 
-// An approval runs, and then its worker is lost, or the task is stopped, or
-// nobody knows how it ended. The caller must not see the approval done twice,
-// nor be told that it did not run: the cause is that a second attempt cannot
-// know how far the first one came.
+// A non-idempotent task (an approval) ends well, fails, is stopped, ends with an
+// unknown result, or loses its worker. It must not run a second time, because
+// the second attempt cannot know how far the first one got. If the first one was
+// interrupted, the outcome must be unknown, not "not run".
 func TestNonIdempotentWorkIsNeverAttemptedTwice(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -53,8 +53,8 @@
 	}
 }
 
-// A refused start truly did not run, so that even an approval is started
-// elsewhere, and the worker that refused is left alone for a while.
+// A refused start certainly did not run, so even a non-idempotent task is
+// started on another worker. The worker that refused gets no task for a while.
 func TestRefusedStartIsTriedElsewhere(t *testing.T) {
 	w := zone(t, 2, Options{})
 	spec := batch("a", 1, 1)
@@ -67,8 +67,8 @@
 	}
 }
 
-// A task that always fails is tried again after growing pauses, stops at its
-// bound, and the caller learns the reason.
+// A task that always fails is retried with an increasing backoff until
+// MaxAttempts is reached. The job then ends as failed, with the reason.
 func TestRetriesStopAtTheirBound(t *testing.T) {
 	w := zone(t, 2, Options{BackoffMin: time.Second})
 	spec := batch("a", 1, 1)
@@ -78,7 +78,7 @@
 		w.end(0, AttemptEnded{Failed: true, Reason: "disk full"})
 		w.pass(pause - time.Millisecond)
 		if len(w.running) != 0 {
-			t.Fatalf("tried again before %s had passed", pause)
+			t.Fatalf("retried before the backoff of %s was over", pause)
 		}
 		w.pass(time.Millisecond)
 	}
@@ -89,9 +89,8 @@
 	}
 }
 
-// A job with a deadline waits behind a full zone. Room comes free at the very
-// moment of the deadline: it is then too late to start, and the caller is told
-// that nothing ran.
+// A job with a deadline waits for capacity in a full zone. Capacity is freed
+// exactly at the deadline, which is too late to start. The job ends as not run.
 func TestNothingStartsAfterItsDeadline(t *testing.T) {
 	w := zone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
@@ -105,8 +104,8 @@
 	}
 }
 
-// The scheduler learns of a job only after its deadline, because its process
-// was paused meanwhile. There is room, but it is too late.
+// The scheduler process was paused and receives a job after its deadline. The
+// job does not run, although it fits.
 func TestJobThatArrivesAfterItsDeadline(t *testing.T) {
 	w := zone(t, 1, Options{})
 	spec := batch("a", 1, 1)
@@ -118,9 +117,9 @@
 	}
 }
 
-// Twenty thousand waiting jobs are cancelled one after the other. Operators
-// would see placement stall if each cancellation searched the queue or left a
-// timer behind; the work that stays must still start.
+// 20,000 waiting jobs are cancelled one by one. Placement would stall if each
+// cancellation searched the queue or leaked a timer. The one job that is not
+// cancelled must still start.
 func TestCancellationWave(t *testing.T) {
 	const jobs = 20_000
 	w := zone(t, 1, Options{})
@@ -138,7 +137,7 @@
 		}
 	}
 	if w.s.Waiting() != 1 || len(w.s.timers.heap) > 16 {
-		t.Errorf("%d jobs wait, %d timers are kept", w.s.Waiting(), len(w.s.timers.heap))
+		t.Errorf("%d jobs wait and %d timers are left, want 1 and at most 16", w.s.Waiting(), len(w.s.timers.heap))
 	}
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(stays)) != 1 {
@@ -146,8 +145,8 @@
 	}
 }
 
-// A running job is cancelled: its tasks are stopped, and the caller is not
-// told that it did not run.
+// A running job is cancelled. Its tasks are stopped, and its outcome is unknown,
+// not "not run".
 func TestCancelledWhileRunning(t *testing.T) {
 	w := zone(t, 1, Options{})
 	job := w.accept(batch("a", 4, 3))
@@ -163,9 +162,9 @@
 	}
 }
 
-// A new scheduler takes over while one task runs, one was done, one was lost
-// and one never started. A caller would see a task run twice if the running
-// one were started again, and lose one if the others were forgotten.
+// A new scheduler takes over while one task is running, one is done, one was
+// lost and one never started. The running and the finished task must not be
+// started again, and the other two must be.
 func TestTakeover(t *testing.T) {
 	w := zone(t, 2, Options{})
 	spec := batch("a", 1, 4)
@@ -182,7 +181,7 @@
 		{Index: 2, Attempts: 1},
 	}})
 	if got := len(w.runningOf(job)); got != 3 {
-		t.Fatalf("%d tasks run, want the adopted one, the lost one and the new one", got)
+		t.Fatalf("%d tasks run, want 3: the running one, the lost one and the one that never started", got)
 	}
 	for len(w.running) > 0 {
 		w.end(0, AttemptEnded{})
@@ -192,8 +191,8 @@
 	}
 }
 
-// An approval was assigned by a predecessor and nothing is known of it since:
-// it may have run, so it ends as unknown and is not started again.
+// A non-idempotent task was assigned by the earlier leader and its result is not
+// known. It may have run, so its outcome is unknown and it is not started again.
 func TestTakeoverOfAnApproval(t *testing.T) {
 	w := zone(t, 1, Options{})
 	spec := batch("a", 1, 1)
@@ -205,8 +204,8 @@
 	}
 }
 
-// Work that can never run is refused with what it lacks; work that cannot start
-// in time is refused with the time after which a repeat makes sense.
+// A job that can never run is refused with the reason. A job that cannot start
+// before its deadline is refused with the delay after which to retry.
 func TestAdmission(t *testing.T) {
 	w := zone(t, 2, Options{})
 	w.step(TeamsChanged{Teams: []Team{{ID: "a", Weight: 1}, {ID: "small", Weight: 1, Limit: 4}}})
@@ -243,8 +242,8 @@
 	}
 }
 
-// A report of an earlier attempt comes late, after the task was started again.
-// Taking it for the new attempt would free room that is still in use.
+// The end of an earlier attempt is reported again after the retry has started.
+// If it were applied to the new attempt, capacity still in use would be freed.
 func TestLateReportOfAnEarlierAttempt(t *testing.T) {
 	w := zone(t, 1, Options{BackoffMin: time.Second})
 	w.accept(batch("a", 8, 1))
@@ -256,36 +255,36 @@
 	}
 }
 
-// One task of an all-at-once job fails. The others are worth nothing alone:
-// they are stopped, and all start again together.
+// One task of a gang fails. The others cannot complete without it: they are
+// stopped, and all tasks start again together.
 func TestGangStartsAgainAsAWhole(t *testing.T) {
 	w := zone(t, 2, Options{BackoffMin: time.Second})
 	job := w.accept(gang("a", 4, 4))
 	w.end(0, AttemptEnded{Failed: true})
 	for len(w.running) > 0 {
 		if w.controls[w.running[0].ID] != ports.ControlStop {
-			t.Fatalf("%s runs on", w.running[0].ID)
+			t.Fatalf("%s was not stopped after another task of its gang failed", w.running[0].ID)
 		}
 		w.end(0, AttemptEnded{Stopped: true})
 	}
 	w.pass(time.Second)
 	if got := len(w.runningOf(job)); got != 4 {
-		t.Errorf("%d tasks started again", got)
+		t.Errorf("%d tasks started again, want 4", got)
 	}
 }
 
-// The only worker refuses a start. Trying again at once would go on for ever.
+// The only worker refuses a start. Retrying without a backoff would loop forever.
 func TestRefusingWorkerIsLeftAlone(t *testing.T) {
 	for _, reason := range []ports.Refusal{"", ports.RefusedCapacity} {
 		w := zone(t, 1, Options{})
 		w.accept(batch("a", 1, 1))
 		w.step(StartRefused{ID: w.take(0).ID, Reason: reason})
 		if len(w.running) != 0 {
-			t.Errorf("refusal %q: started again at once", reason)
+			t.Errorf("refusal %q: started again without a backoff", reason)
 		}
 		w.pass(time.Second)
 		if len(w.running) != 1 {
-			t.Errorf("refusal %q: not started again", reason)
+			t.Errorf("refusal %q: not started again after the backoff", reason)
 		}
 	}
 }
--- a/sched/main_test.go
+++ b/sched/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, unless one is given.
+// TestMain sets a fixed seed for the property tests, unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -11,9 +11,8 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Small tasks arrive all the time, each ends after a while, and a job needs
-// most of the zone at once. Without a hold its users wait for ever, because
-// every core that comes free is taken by the next small task.
+// A gang needs half of the zone while small tasks arrive constantly. Without a
+// hold it starves, because the next small task takes every freed core.
 func TestGangDoesNotStarveBehindSmallWork(t *testing.T) {
 	for _, hold := range []Hold{HoldPlanned, HoldDrain, HoldNone} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
@@ -37,8 +36,8 @@
 	}
 }
 
-// While workers are held for a large job, short work may use them, long work
-// may not: users of short work should not pay for a hold.
+// Workers are held for a large job. Tasks that end before its planned start may
+// use them, so a hold does not delay short work; longer tasks may not.
 func TestShortWorkRunsOnHeldWorkers(t *testing.T) {
 	w := zone(t, 2, Options{KeepRunning: true})
 	long := batch("a", 5, 1)
@@ -57,9 +56,9 @@
 	}
 }
 
-// Urgent work meets a zone that is full of displaceable tasks: it starts as
-// soon as one of them has been checkpointed, and that one starts again later.
-// A task that was displaced as often as the bound allows is left alone.
+// The zone is full of displaceable work when an urgent job arrives. The job
+// starts once a task has been checkpointed, and that task starts again later. A
+// task that was displaced MaxDisplaced times is not displaced again.
 func TestUrgentWorkDisplacesWithinABound(t *testing.T) {
 	w := zone(t, 1, Options{MaxDisplaced: 2, KeepRunning: true})
 	plain := batch("a", 8, 1)
@@ -88,9 +87,9 @@
 	}
 }
 
-// One worker fails whatever it gets, at once, and is therefore always free.
-// Without quarantine it draws every job of the zone until all have failed; with
-// it all jobs succeed, and when the worker is mended it is used again.
+// One worker fails every task immediately and is therefore always idle. Without
+// quarantine every job of the zone would be placed on it until all had failed.
+// With quarantine all jobs succeed, and the worker is used again after repair.
 func TestWorkerThatFailsEverything(t *testing.T) {
 	w := zone(t, 4, Options{})
 	bad := worker(0)
@@ -118,7 +117,7 @@
 		}
 	}
 	if tried > 12 {
-		t.Errorf("the broken worker was tried %d times", tried)
+		t.Errorf("%d tasks were placed on the broken worker, want at most 12", tried)
 	}
 	w.pass(time.Hour)
 	job := w.accept(batch("a", 8, 4))
@@ -126,12 +125,12 @@
 		w.end(0, AttemptEnded{Ran: time.Second})
 	}
 	if _, ended := w.ended[job]; !ended || w.s.sick != 0 {
-		t.Errorf("the job ended: %v; %d workers are set aside", ended, w.s.sick)
+		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.sick)
 	}
 }
 
-// One team's jobs all fail, wherever they run. The workers are fine: another
-// team must find all of them in use, and none set aside.
+// All jobs of one team fail on every worker. The workers are healthy and must
+// not be quarantined, or the other teams would lose their capacity.
 func TestBrokenWorkSetsNoWorkerAside(t *testing.T) {
 	w := zone(t, 8, Options{})
 	for i := range 100 {
@@ -145,12 +144,12 @@
 		w.pass(time.Second)
 	}
 	if w.s.sick != 0 {
-		t.Errorf("%d workers are set aside", w.s.sick)
+		t.Errorf("%d workers are quarantined, want 0", w.s.sick)
 	}
 }
 
-// A team floods the zone. A team within its share starts its work as soon as
-// anything ends, however many jobs of the other wait.
+// One team submits 5,000 jobs. Work of another team that is within its fair
+// share starts as soon as any task ends, regardless of that backlog.
 func TestFloodDoesNotDelayAnotherTeam(t *testing.T) {
 	w := zone(t, 4, Options{KeepRunning: true})
 	w.step(TeamsChanged{Teams: []Team{{ID: "flood", Weight: 1}, {ID: "calm", Weight: 1}}})
@@ -160,12 +159,12 @@
 	job := w.accept(batch("calm", 1, 1))
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(job)) != 1 {
-		t.Errorf("the team within its share waits behind a flood")
+		t.Errorf("the job of the team within its fair share did not start")
 	}
 }
 
-// The upper limit refuses units: the engine is told, and when units come back
-// the work starts. If that word is lost, the scheduler asks again by itself.
+// Limit units are refused. The scheduler emits a Want, and the work starts after
+// the limit is raised. It retries by itself if no LimitChanged arrives.
 func TestUpperLimit(t *testing.T) {
 	w := zone(t, 2, Options{})
 	w.units.limit["a"] = 2
@@ -180,9 +179,9 @@
 	}
 }
 
-// Units are refused twice within a second, then the limit is raised and the
-// word of it is lost. The retry of the first refusal comes before the second
-// one lapses: it must not be the last.
+// Limit units are refused twice within a second. Then the limit is raised and
+// the LimitChanged event is lost. The retry timer of the first refusal fires
+// before the second refusal expires, so another timer must follow.
 func TestUpperLimitIsTriedAgainAfterASecondRefusal(t *testing.T) {
 	w := zone(t, 1, Options{})
 	w.units.limit["a"] = 1
@@ -196,9 +195,9 @@
 	}
 }
 
-// A worker is to be removed in a planned change. Callers of the service must
-// never find fewer replicas than declared: the replacement starts first, in
-// another rack if it can, and only then is the old replica stopped.
+// A worker is drained before a planned removal. The service must not have fewer
+// replicas than declared: the old replica is stopped only after its replacement
+// has started, in another rack if possible.
 func TestServiceIsReplacedBeforeItIsRemoved(t *testing.T) {
 	w := zone(t, 6, Options{})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
@@ -229,8 +228,9 @@
 	}
 }
 
-// The worker of a replica is lost while batch work fills the zone. Callers would
-// find one replica less until some batch task ends, which may take hours.
+// The worker of a replica is lost while batch work fills the zone. Without
+// displacement the replica would be missing until a batch task ends, which may
+// take hours.
 func TestLostReplicaMakesRoomForItself(t *testing.T) {
 	w := zone(t, 2, Options{KeepRunning: true})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
@@ -254,7 +254,8 @@
 	}
 }
 
-// A job waits and an operator asks why.
+// The explanation of a waiting job names what an operator needs to know: its
+// place in the queue, the rejected workers by reason and the predicted start.
 func TestExplanation(t *testing.T) {
 	w := zone(t, 3, Options{})
 	w.step(WorkerCordoned{Worker: worker(2), Cordoned: true})
@@ -274,12 +275,12 @@
 	}
 	running := w.s.Explain(w.now, w.running[0].ID.Job).Words()
 	if !strings.Contains(running, "runs on "+string(w.running[0].Worker)) {
-		t.Errorf("no place in:\n%s", running)
+		t.Errorf("worker of the running task is missing in:\n%s", running)
 	}
 }
 
-// An approval runs that is marked displaceable by mistake. Displacing it would
-// need a second attempt, so urgent work has to wait for its end.
+// A running non-idempotent task is marked displaceable by mistake. Displacing it
+// would require a second attempt, so urgent work must wait until it ends.
 func TestApprovalsAreNotDisplaced(t *testing.T) {
 	w := zone(t, 1, Options{})
 	spec := batch("a", 8, 1)
@@ -294,8 +295,8 @@
 	}
 }
 
-// A held worker is removed. The hold would keep the other workers idle for a
-// start that cannot come.
+// A held worker is removed. If the hold continued, it would keep the other
+// workers idle for a start that can no longer happen.
 func TestHoldEndsWithItsWorker(t *testing.T) {
 	w := zone(t, 2, Options{KeepRunning: true})
 	w.accept(batch("a", 5, 2))
@@ -306,12 +307,12 @@
 	}
 	w.remove(worker(0))
 	if held := w.s.cell.Worker(1).Bars; len(w.s.holds) != 0 || held != 0 {
-		t.Errorf("%d holds, bars %d", len(w.s.holds), held)
+		t.Errorf("%d holds and bars %d on the other worker, want none", len(w.s.holds), held)
 	}
 }
 
-// A team filled the zone while it was alone. When another team's work arrives,
-// the first must not keep everything until its long tasks end.
+// A team without competition fills the zone with long tasks. When work of another
+// team arrives, the shares must become equal before those tasks end.
 func TestSharesComeTogether(t *testing.T) {
 	w := zone(t, 4, Options{})
 	long := batch("first", 1, 64)
@@ -327,12 +328,12 @@
 		}
 	}
 	if got := len(w.runningOf(job)); got < 15 || got > 17 {
-		t.Errorf("the second team runs %d of 32 tasks", got)
+		t.Errorf("the second team runs %d of 32 tasks, want 15 to 17", got)
 	}
 }
 
-// Two jobs of one team wait, the later one with an earlier deadline: that one
-// starts first.
+// Two jobs of one team wait. The one with the earlier deadline starts first,
+// although it was accepted later.
 func TestEarliestDeadlineFirst(t *testing.T) {
 	w := zone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
@@ -342,13 +343,13 @@
 	job := w.accept(tight)
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(job)) != 1 {
-		t.Errorf("the later deadline went first")
+		t.Errorf("the job with the earlier deadline did not start first")
 	}
 }
 
-// A team alone in its zone fills it with long tasks, and then an approval of
-// the same team arrives. Nothing ends before its deadline: a citizen would be
-// told that it did not run although the team had room to give.
+// A team fills its zone with long tasks, then submits an approval with a
+// deadline. No task ends before that deadline: without displacement the approval
+// would end as not run, although the team has displaceable work of its own.
 func TestOwnWorkMakesRoomNearADeadline(t *testing.T) {
 	w := zone(t, 1, Options{})
 	long := batch("a", 4, 2)
@@ -370,9 +371,9 @@
 	}
 }
 
-// The control that checkpoints a task is lost, and later its worker turns out
-// not to checkpoint at all. The control must be sent again, and the worker must
-// not stay idle for urgent work that it cannot make room for.
+// A worker does not execute the control that checkpoints a task, because the
+// control is lost or the worker cannot checkpoint. The control must be resent,
+// and the hold of the worker for urgent work must end.
 func TestControlThatIsNotFollowed(t *testing.T) {
 	w := zone(t, 1, Options{Hold: HoldNone})
 	long := batch("a", 6, 1)
@@ -392,16 +393,16 @@
 		w.step(Tick{})
 	}
 	if sent < 5 {
-		t.Errorf("the control was sent %d times", sent)
+		t.Errorf("the control was sent %d times, want at least 5", sent)
 	}
 	if job := w.accept(batch("c", 2, 1)); len(w.runningOf(job)) != 1 {
 		t.Errorf("the worker is still held")
 	}
 }
 
-// A task is checkpointed for urgent work and does not stop. The urgent work
-// must not wait until its worker is given up: after a second another task makes
-// room for it.
+// A task is checkpointed for urgent work and does not stop. The urgent work must
+// not wait until the hold of that worker ends (30 s): after 1 s another task is
+// displaced.
 func TestUrgentWorkDoesNotWaitForATaskThatDoesNotStop(t *testing.T) {
 	w := zone(t, 2, Options{KeepRunning: true})
 	plain := batch("a", 8, 2)
@@ -411,10 +412,10 @@
 	urgent.Urgent = true
 	w.accept(urgent)
 	if n := len(w.controls); n != 1 {
-		t.Fatalf("%d tasks were told to stop at once, want 1", n)
+		t.Fatalf("%d tasks got a control at once, want 1", n)
 	}
 	w.pass(comingFor)
 	if n := len(w.controls); n != 2 {
-		t.Errorf("%d tasks were told to stop after %s, want 2", n, comingFor)
+		t.Errorf("%d tasks got a control after %s, want 2", n, comingFor)
 	}
 }
