--- a/sched/admit.go
+++ b/sched/admit.go
@@ -29,53 +29,54 @@
 }
 
 const (
-	tasksMost     = 100_000 // per job
-	retryLeast    = time.Second
-	retryMost     = 10 * time.Minute
-	drainPart     = 10 // a retry is suggested once 1/10 of the backlog is expected to have started
-	deadlineSlack = 1  // a job is refused if its expected wait is over this multiple of its deadline
+	maxTasks       = 100_000 // per job
+	minRetryAfter  = time.Second
+	maxRetryAfter  = 10 * time.Minute
+	backlogDivisor = 10 // a retry is suggested once 1/10 of the backlog is expected to have started
+	deadlineFactor = 1  // a job is refused if its expected wait is over this multiple of its deadline
 )
 
 // CheckFit returns a *RefusedError with the reasons if the job is malformed or
 // can never run on the known workers or within its team's upper limit, and nil
 // otherwise. While no worker is known, worker sizes are not checked.
 func (s *Scheduler) CheckFit(spec work.Spec) error {
-	lacks := malformed(spec)
-	if len(lacks) == 0 && s.cell.Len() > 0 {
-		lacks = s.lacks(spec)
+	problems := specProblems(spec)
+	if len(problems) == 0 && s.cell.Len() > 0 {
+		problems = s.capacityProblems(spec)
 	}
-	if len(lacks) == 0 {
-		lacks = s.overLimit(spec)
+	if len(problems) == 0 {
+		problems = s.limitProblems(spec)
 	}
-	if len(lacks) > 0 {
-		return &RefusedError{Lacks: lacks}
+	if len(problems) > 0 {
+		return &RefusedError{Lacks: problems}
 	}
 	return nil
 }
 
-// malformed returns the faults of a specification.
-func malformed(spec work.Spec) []string {
-	var lacks []string
+// specProblems returns the faults of a specification.
+func specProblems(spec work.Spec) []string {
+	var problems []string
 	if spec.Kind != work.KindBatch && spec.Kind != work.KindGang {
-		lacks = append(lacks, fmt.Sprintf("kind %q is no job: it must be %q or %q", spec.Kind, work.KindBatch, work.KindGang))
+		problems = append(problems, fmt.Sprintf("kind %q is no job: it must be %q or %q", spec.Kind, work.KindBatch, work.KindGang))
 	}
-	if spec.Tasks < 1 || spec.Tasks > tasksMost {
-		lacks = append(lacks, fmt.Sprintf("%d tasks: there must be 1 to %d", spec.Tasks, tasksMost))
+	if spec.Tasks < 1 || spec.Tasks > maxTasks {
+		problems = append(problems, fmt.Sprintf("%d tasks: there must be 1 to %d", spec.Tasks, maxTasks))
 	}
 	if spec.Need.Negative() {
-		lacks = append(lacks, "a need is below zero")
+		problems = append(problems, "a need is below zero")
 	}
 	if spec.Need.Slots != 0 || spec.Need.Connections != 0 {
-		lacks = append(lacks, "jobs need no slots or connections")
+		problems = append(problems, "jobs need no slots or connections")
 	}
 	if spec.Deadline < 0 || spec.Run < 0 || spec.Limit < 0 {
-		lacks = append(lacks, "a time is below zero")
+		problems = append(problems, "a time is below zero")
 	}
-	return lacks
+	return problems
 }
 
-// lacks returns why the job can never fit on the known workers, or nil.
-func (s *Scheduler) lacks(spec work.Spec) []string {
+// capacityProblems returns why the job can never fit on the known workers, or
+// nil.
+func (s *Scheduler) capacityProblems(spec work.Spec) []string {
 	tasks := int64(1)
 	if spec.Kind == work.KindGang {
 		tasks = int64(spec.Tasks)
@@ -87,12 +88,12 @@
 	if slots > 0 {
 		return []string{fmt.Sprintf("%d tasks must start together and the workers hold %d", tasks, slots)}
 	}
-	return tooLarge(spec.Need, s.cell.Largest())
+	return sizeProblems(spec.Need, s.cell.Largest())
 }
 
-// overLimit returns a reason if the job needs more units to start than the
+// limitProblems returns a reason if the job needs more units to start than the
 // upper limit of its team, and nil otherwise.
-func (s *Scheduler) overLimit(spec work.Spec) []string {
+func (s *Scheduler) limitProblems(spec work.Spec) []string {
 	units := resource.LimitUnits(spec.Need)
 	if spec.Kind == work.KindGang {
 		units *= int64(spec.Tasks)
@@ -103,22 +104,22 @@
 	return nil
 }
 
-// tooLarge returns the resources of which the need is over the largest amount
-// of any worker. The need must fit no worker.
-func tooLarge(need, largest resource.Vector) []string {
-	var lacks []string
+// sizeProblems returns the resources of which the need is over the largest
+// amount of any worker. The need must fit no worker.
+func sizeProblems(need, largest resource.Vector) []string {
+	var problems []string
 	compare := func(needs, has int64, unit string) {
 		if needs > has {
-			lacks = append(lacks, fmt.Sprintf("a task needs %d %s and the largest worker has %d", needs, unit, has))
+			problems = append(problems, fmt.Sprintf("a task needs %d %s and the largest worker has %d", needs, unit, has))
 		}
 	}
 	compare(need.MilliCPU, largest.MilliCPU, "milli-cpu")
 	compare(need.MemoryMiB, largest.MemoryMiB, "MiB")
 	compare(need.Accelerators, largest.Accelerators, "accelerators")
-	if len(lacks) == 0 {
-		lacks = append(lacks, "no single worker has all that a task needs: "+need.String())
+	if len(problems) == 0 {
+		problems = append(problems, "no single worker has all that a task needs: "+need.String())
 	}
-	return lacks
+	return problems
 }
 
 // Admit returns a *RefusedError if the job can never run, if the backlog of its
@@ -142,13 +143,13 @@
 	refusal := &RefusedError{Waiting: waiting, Wait: wait}
 	switch {
 	case waiting >= s.opts.MaxWaiting:
-		refusal.RetryAfter = s.expectedWait(t, false) / drainPart
-	case spec.Deadline > 0 && wait > deadlineSlack*spec.Deadline && !s.fitsNow(spec):
+		refusal.RetryAfter = s.expectedWait(t, false) / backlogDivisor
+	case spec.Deadline > 0 && wait > deadlineFactor*spec.Deadline && !s.fitsNow(spec):
 		refusal.RetryAfter = wait - spec.Deadline
 	default:
 		return nil
 	}
-	refusal.RetryAfter = min(max(refusal.RetryAfter, retryLeast), retryMost)
+	refusal.RetryAfter = min(max(refusal.RetryAfter, minRetryAfter), maxRetryAfter)
 	return refusal
 }
 
--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -20,16 +20,16 @@
 	need    resource.Vector
 	units   int64
 
-	worker   place.Ref
-	at       int    // index in host.attempts
-	since    timeOf // start of the run; before started is set, time of the assignment
-	started  bool
-	expected time.Duration // run time
-	excess   int64         // measured milli-cpu above the need
-	stopping ports.Control
-	stopAt   timeOf // time of the first control
-	yields   bool   // displaced for urgent work or a service replica
-	over     bool
+	worker      place.Ref
+	workerIndex int    // index in host.attempts
+	since       timeOf // start of the run; before started is set, time of the assignment
+	started     bool
+	expected    time.Duration // run time
+	excessCPU   int64         // measured milli-cpu above the need
+	stopping    ports.Control
+	stopAt      timeOf // time of the first control
+	yields      bool   // displaced for urgent work or a service replica
+	ended       bool
 }
 
 // ending is the result of an attempt.
@@ -64,7 +64,7 @@
 func (s *Scheduler) begin(a *attempt, ref place.Ref) {
 	h := s.host(ref)
 	a.worker = ref
-	a.at = len(h.attempts)
+	a.workerIndex = len(h.attempts)
 	h.attempts = append(h.attempts, a)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Add(a.need)
@@ -78,20 +78,20 @@
 // release removes an attempt from its worker, team and job and frees its
 // capacity and units.
 func (s *Scheduler) release(a *attempt) {
-	a.over = true
+	a.ended = true
 	h := s.host(a.worker)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
 	last := h.attempts[len(h.attempts)-1]
-	h.attempts[a.at] = last
-	last.at = a.at
+	h.attempts[a.workerIndex] = last
+	last.workerIndex = a.workerIndex
 	h.attempts[len(h.attempts)-1] = nil
 	h.attempts = h.attempts[:len(h.attempts)-1]
 	if a.stopping != "" {
 		a.team.stopping = a.team.stopping.Sub(a.need)
 	}
-	s.cell.Measured(a.worker, -a.excess)
+	s.cell.Measured(a.worker, -a.excessCPU)
 	s.cell.Release(a.worker, a.need)
 	s.queue.Release(a.team.Team, a.need)
 	s.doneUnits(a.team, a.units)
@@ -173,7 +173,7 @@
 	case j.gang():
 		s.concludeGang(a, e)
 	case e.refused && e.pause:
-		s.tryLater(j, a.id.Index, s.opts.BackoffMin)
+		s.requeueAfter(j, a.id.Index, s.opts.BackoffMin)
 	case e.refused:
 		j.ready = append(j.ready, int32(a.id.Index))
 	case !e.failed && !e.stopped && !e.lost:
@@ -209,32 +209,32 @@
 	t := &j.tasks[a.id.Index]
 	t.failures++
 	t.last = a.worker
-	j.reason = e.words()
-	if int(t.failures) < s.maxAttempts(j) && !s.ranIntoLimit(j, e) {
-		s.tryLater(j, a.id.Index, doubled(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
+	j.reason = e.reasonText()
+	if int(t.failures) < s.maxAttempts(j) && !s.hitTimeLimit(j, e) {
+		s.requeueAfter(j, a.id.Index, doubled(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
 		return
 	}
 	j.failed++
 	if e.stopped || e.lost {
 		j.uncertain = true
 	}
-	if j.failed >= failedMost && j.failed > j.done {
+	if j.failed >= maxFailedTasks && j.failed > j.done {
 		j.closed = true
 	}
 }
 
-// failedMost is the number of finally failed tasks at which a job is closed and
-// its other tasks are not started, unless at least as many have succeeded.
-const failedMost = 3
+// maxFailedTasks is the number of finally failed tasks at which a job is closed
+// and its other tasks are not started, unless at least as many have succeeded.
+const maxFailedTasks = 3
 
-// ranIntoLimit reports whether the task was stopped at its time limit. A retry
+// hitTimeLimit reports whether the task was stopped at its time limit. A retry
 // would end in the same way.
-func (s *Scheduler) ranIntoLimit(j *job, e ending) bool {
+func (s *Scheduler) hitTimeLimit(j *job, e ending) bool {
 	return j.spec.Limit > 0 && e.stopped && e.ran >= j.spec.Limit
 }
 
-// words returns the reason of an unsuccessful end.
-func (e ending) words() string {
+// reasonText returns the reason of an unsuccessful end.
+func (e ending) reasonText() string {
 	switch {
 	case e.reason != "":
 		return e.reason
@@ -247,8 +247,8 @@
 	}
 }
 
-// tryLater queues a task, or a whole gang, again after the delay.
-func (s *Scheduler) tryLater(j *job, index int, delay time.Duration) {
+// requeueAfter queues a task, or a whole gang, again after the delay.
+func (s *Scheduler) requeueAfter(j *job, index int, delay time.Duration) {
 	j.delayed++
 	s.after(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
 }
@@ -280,17 +280,17 @@
 	if a.stopping == "" {
 		a.team.stopping = a.team.stopping.Add(a.need)
 	}
-	again := a.stopping != ""
+	alreadyStopping := a.stopping != ""
 	a.stopping = control
 	s.sendControl(a)
-	if !again {
+	if !alreadyStopping {
 		a.stopAt = s.now
-		s.after(timer{at: s.now + controlEvery, kind: timerControl, attempt: a})
+		s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 	}
 }
 
-// controlEvery is the interval at which a control is resent.
-const controlEvery = 5 * time.Second
+// controlResendInterval is the interval at which a control is resent.
+const controlResendInterval = 5 * time.Second
 
 func (s *Scheduler) sendControl(a *attempt) {
 	s.emit(Control{ID: a.id, Worker: s.cell.Worker(a.worker).ID, Control: a.stopping})
@@ -301,11 +301,11 @@
 // a resend, a cancelled job would keep running and its caller would never get
 // an answer. Controls are idempotent, so a duplicate has no effect.
 func (s *Scheduler) repeatControl(a *attempt) {
-	if a.over {
+	if a.ended {
 		return
 	}
 	s.sendControl(a)
-	s.after(timer{at: s.now + controlEvery, kind: timerControl, attempt: a})
+	s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 }
 
 func (s *Scheduler) usageReported(ev UsageReported) {
@@ -314,8 +314,8 @@
 		return
 	}
 	excess := max(ev.Usage.MilliCPU-a.need.MilliCPU, 0)
-	s.cell.Measured(a.worker, excess-a.excess)
-	a.excess = excess
+	s.cell.Measured(a.worker, excess-a.excessCPU)
+	a.excessCPU = excess
 	if ev.Ran > 0 {
 		a.since = s.now - ev.Ran
 	}
--- a/sched/defaults.go
+++ b/sched/defaults.go
@@ -7,31 +7,31 @@
 	if o.Limits == nil {
 		o.Limits = Unlimited{}
 	}
-	orDuration(&o.HoldAfter, 2*time.Second)
-	orDuration(&o.HoldFor, 10*time.Minute)
-	orDuration(&o.Patience, 5*time.Minute)
-	orDuration(&o.UrgentPatience, 2*time.Second)
-	orDuration(&o.BackoffMin, time.Second)
-	orDuration(&o.BackoffMax, 5*time.Minute)
-	orDuration(&o.QuarantineMin, 30*time.Second)
-	orDuration(&o.QuarantineMax, 15*time.Minute)
-	orInt(&o.MaxDisplaced, 3)
-	orInt(&o.MaxAttempts, 5)
-	orInt(&o.QuarantineAfter, 3)
-	orInt(&o.MaxWaiting, 50_000)
+	defaultDuration(&o.HoldAfter, 2*time.Second)
+	defaultDuration(&o.HoldFor, 10*time.Minute)
+	defaultDuration(&o.Patience, 5*time.Minute)
+	defaultDuration(&o.UrgentPatience, 2*time.Second)
+	defaultDuration(&o.BackoffMin, time.Second)
+	defaultDuration(&o.BackoffMax, 5*time.Minute)
+	defaultDuration(&o.QuarantineMin, 30*time.Second)
+	defaultDuration(&o.QuarantineMax, 15*time.Minute)
+	defaultInt(&o.MaxDisplaced, 3)
+	defaultInt(&o.MaxAttempts, 5)
+	defaultInt(&o.QuarantineAfter, 3)
+	defaultInt(&o.MaxWaiting, 50_000)
 	if o.UrgentOver == 0 {
 		o.UrgentOver = 1.5
 	}
 	return o
 }
 
-func orDuration(field *time.Duration, value time.Duration) {
+func defaultDuration(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-func orInt(field *int, value int) {
+func defaultInt(field *int, value int) {
 	if *field == 0 {
 		*field = value
 	}
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -7,9 +7,9 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// lookEvery is the delay before dispatch runs again after a scan that skipped
-// classes, because a team has too many of them, if no event comes first.
-const lookEvery = 100 * time.Millisecond
+// rescanInterval is the delay before dispatch runs again after a scan that
+// skipped classes, because a team has too many of them, if no event comes first.
+const rescanInterval = 100 * time.Millisecond
 
 // dispatch starts waiting work in queue order until none can start. Work that
 // does not fit is skipped, so capacity that other work can use is not left
@@ -32,7 +32,7 @@
 		return
 	}
 	if s.queue.Partial() {
-		s.wake(&s.wakes.look, s.now+lookEvery)
+		s.wake(&s.wakes.look, s.now+rescanInterval)
 	}
 	s.displace()
 	s.rebalance()
@@ -49,7 +49,7 @@
 
 func (s *Scheduler) startWaiting() {
 	for {
-		item := s.first()
+		item := s.nextStartable()
 		if item == nil {
 			return
 		}
@@ -57,8 +57,9 @@
 	}
 }
 
-// first returns the next job in the queue whose class might start, or nil.
-func (s *Scheduler) first() *queue.Item[*job] {
+// nextStartable returns the next job in the queue whose class might start, or
+// nil.
+func (s *Scheduler) nextStartable() *queue.Item[*job] {
 	if s.opts.FirstFit {
 		return s.queue.Oldest(s.openFunc)
 	}
@@ -88,8 +89,8 @@
 	return false
 }
 
-// limited reports whether the upper limit of its team blocks a job.
-func (s *Scheduler) limited(j *job) bool { return s.blocked(j.team, j.startUnits()) }
+// limitBlocks reports whether the upper limit of its team blocks a job.
+func (s *Scheduler) limitBlocks(j *job) bool { return s.blocked(j.team, j.startUnits()) }
 
 // startUnits returns the limit units that the job needs to start: those of one
 // task, or of all tasks of a gang.
@@ -105,14 +106,14 @@
 // freed capacity.
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
-		if !s.placeGang(j) && !s.limited(j) {
+		if !s.placeGang(j) && !s.limitBlocks(j) {
 			j.item.Class().Mark = s.cell.Freed()
 		}
 		return
 	}
-	ref := s.look(j, j.peekLast())
+	ref := s.pickWorker(j, j.peekLast())
 	if ref == place.None {
-		ref = s.lookHeld(j)
+		ref = s.pickHeldWorker(j)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, j.need) {
 		j.item.Class().Mark = s.cell.Freed()
@@ -123,12 +124,12 @@
 		return
 	}
 	s.assign(j, ref)
-	s.started(j)
+	s.tasksAssigned(j)
 }
 
-// look returns a worker on which a task of the job fits now, or place.None.
-// The worker avoid is the last choice.
-func (s *Scheduler) look(j *job, avoid place.Ref) place.Ref {
+// pickWorker returns a worker on which a task of the job fits now, or
+// place.None. The worker avoid is the last choice.
+func (s *Scheduler) pickWorker(j *job, avoid place.Ref) place.Ref {
 	if s.opts.FirstFit {
 		return s.placer.FirstFit(j.need)
 	}
@@ -165,8 +166,8 @@
 	}
 }
 
-// started updates the queue after tasks of the job were assigned.
-func (s *Scheduler) started(j *job) {
+// tasksAssigned updates the queue after tasks of the job were assigned.
+func (s *Scheduler) tasksAssigned(j *job) {
 	s.predictionDue(j)
 	s.weigh(j)
 	j.team.Started(j.item.Class())
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	displaceMost  = 64                     // tasks of one class for which capacity is freed at once
-	displaceEvery = 100 * time.Millisecond // least delay before the next search after one that found no victim
+	maxDisplaceBatch = 64                     // tasks of one class for which capacity is freed at once
+	displaceEvery    = 100 * time.Millisecond // least delay before the next search after one that found no victim
 )
 
 // displaceable reports whether an attempt may be checkpointed to free capacity
@@ -48,8 +48,9 @@
 // held forever.
 const emptyMost = 30 * time.Second
 
-// filter selects among the displaceable attempts. A nil filter selects all.
-type filter func(*attempt) bool
+// victimFilter selects among the displaceable attempts. A nil victimFilter
+// selects all.
+type victimFilter func(*attempt) bool
 
 // displace frees capacity for work that does not fit by checkpointing
 // displaceable tasks: tasks of any team for urgent work, and tasks of the same
@@ -90,52 +91,52 @@
 }
 
 // displaceFor frees capacity for the waiting tasks of a class by displacing the
-// attempts that from selects. The workers are held for the team use or, if that
-// is nil, for urgent work; for a gang they are held for the job itself.
-func (s *Scheduler) displaceFor(class *queue.Class[*job], use *team, from filter) {
+// eligible attempts. The workers are held for the team heldFor or, if that is
+// nil, for urgent work; for a gang they are held for the job itself.
+func (s *Scheduler) displaceFor(class *queue.Class[*job], heldFor *team, eligible victimFilter) {
 	j := class.Head().Owner
-	if s.limited(j) || j.hold != nil {
+	if s.limitBlocks(j) || j.hold != nil {
 		return
 	}
-	wanted := int64(min(class.Len(), displaceMost))
+	wanted := int64(min(class.Len(), maxDisplaceBatch))
 	if j.gang() {
 		wanted = int64(j.spec.Tasks)
 	} else if class.Len() == 1 {
-		wanted = int64(min(j.waiting(), displaceMost))
+		wanted = int64(min(j.waiting(), maxDisplaceBatch))
 	}
 	if !j.gang() {
-		wanted -= s.comingRoom(j, wanted)
+		wanted -= s.fitsOnceStopped(j, wanted)
 	}
 	if wanted <= 0 {
 		return
 	}
-	workers, found := s.victims(j.need, from, wanted)
+	workers, found := s.victims(j.need, eligible, wanted)
 	if found == 0 || (j.gang() && found < wanted) {
 		s.displaceAt = s.now + displaceEvery
 		s.wake(&s.wakes.displace, s.displaceAt)
 		return
 	}
 	for _, ref := range workers {
-		s.checkpoint(ref, j.need, from)
+		s.checkpoint(ref, j.need, eligible)
 	}
 	if j.gang() {
 		at := s.now + stopTime
 		s.hold(&hold{job: j, workers: workers, at: at, first: at, urgent: true})
 		return
 	}
-	s.empty(workers, emptying{team: use})
+	s.empty(workers, emptying{team: heldFor})
 }
 
 // empty holds workers on which tasks are being checkpointed, for the work that
-// use names.
-func (s *Scheduler) empty(workers []place.Ref, use emptying) {
-	use.until = s.now + emptyMost
-	s.after(timer{at: use.until, kind: timerWake})
-	s.after(timer{at: s.now + comingFor, kind: timerWake})
+// entry names.
+func (s *Scheduler) empty(workers []place.Ref, entry emptying) {
+	entry.until = s.now + emptyMost
+	s.after(timer{at: entry.until, kind: timerWake})
+	s.after(timer{at: s.now + stopGrace, kind: timerWake})
 	for _, ref := range workers {
 		s.cell.Bar(ref, place.BarHeld)
-		use.worker = ref
-		s.making = append(s.making, use)
+		entry.worker = ref
+		s.making = append(s.making, entry)
 	}
 }
 
@@ -151,41 +152,41 @@
 	}
 }
 
-// comingFor is how long the capacity of a task counts as about to be freed after
+// stopGrace is how long the capacity of a task counts as about to be freed after
 // its first control was sent.
-const comingFor = time.Second
+const stopGrace = time.Second
 
-// comingRoom returns how many tasks of the job will fit on the workers that are
-// held for it, once the tasks that are being stopped have ended.
+// fitsOnceStopped returns how many tasks of the job will fit on the workers that
+// are held for it, once the tasks that are being stopped have ended.
 //
-// A task that does not stop within comingFor (1 s) no longer counts. Otherwise
+// A task that does not stop within stopGrace (1 s) no longer counts. Otherwise
 // urgent work would wait for its capacity for as long as the worker is held,
 // although other tasks could be displaced.
-func (s *Scheduler) comingRoom(j *job, most int64) int64 {
-	coming := int64(0)
+func (s *Scheduler) fitsOnceStopped(j *job, most int64) int64 {
+	fits := int64(0)
 	for _, e := range s.making {
 		if !e.mayUse(j) {
 			continue
 		}
 		room := s.cell.Worker(e.worker).Free
 		for _, a := range s.host(e.worker).attempts {
-			if a.stopping != "" && s.now < a.stopAt+comingFor {
+			if a.stopping != "" && s.now < a.stopAt+stopGrace {
 				room = room.Add(a.need)
 			}
 		}
-		coming += place.Count(j.need, room, most)
+		fits += place.Count(j.need, room, most)
 	}
-	return coming
+	return fits
 }
 
 // victims returns the workers on which the least capacity must be displaced to
 // fit the wanted number of tasks, and how many tasks will fit on them.
-func (s *Scheduler) victims(need resource.Vector, from filter, wanted int64) ([]place.Ref, int64) {
+func (s *Scheduler) victims(need resource.Vector, eligible victimFilter, wanted int64) ([]place.Ref, int64) {
 	var workers []place.Ref
 	for i := range s.hosts {
 		ref := place.Ref(i)
 		w := s.cell.Worker(ref)
-		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, from))) {
+		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, eligible))) {
 			workers = append(workers, ref)
 		}
 	}
@@ -206,29 +207,29 @@
 	return workers, found
 }
 
-// displaceableOn returns the sum of the needs of the attempts on a worker that
-// are displaceable and that from selects.
-func (s *Scheduler) displaceableOn(ref place.Ref, from filter) resource.Vector {
+// displaceableOn returns the sum of the needs of the eligible displaceable
+// attempts on a worker.
+func (s *Scheduler) displaceableOn(ref place.Ref, eligible victimFilter) resource.Vector {
 	h := s.host(ref)
-	if from == nil || h.displaceable.IsZero() {
+	if eligible == nil || h.displaceable.IsZero() {
 		return h.displaceable
 	}
 	var sum resource.Vector
 	for _, a := range h.attempts {
-		if s.displaceable(a) && from(a) {
+		if s.displaceable(a) && eligible(a) {
 			sum = sum.Add(a.need)
 		}
 	}
 	return sum
 }
 
-// checkpoint displaces tasks on a worker until one task of the need fits. Tasks
-// that were displaced the fewest times come first, then those that have run the
-// shortest time.
-func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, from filter) {
+// checkpoint displaces eligible tasks on a worker until one task of the need
+// fits. Tasks that were displaced the fewest times come first, then those that
+// have run the shortest time.
+func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, eligible victimFilter) {
 	var victims []*attempt
 	for _, a := range s.host(ref).attempts {
-		if s.displaceable(a) && (from == nil || from(a)) {
+		if s.displaceable(a) && (eligible == nil || eligible(a)) {
 			victims = append(victims, a)
 		}
 	}
@@ -244,7 +245,7 @@
 			return
 		}
 		if helps(need, room, a.need) {
-			a.yields = from == nil
+			a.yields = eligible == nil
 			s.stop(a, ports.ControlCheckpoint)
 			room = room.Add(a.need)
 		}
@@ -264,7 +265,7 @@
 func (s *Scheduler) endDisplacements() bool {
 	before := len(s.making)
 	s.making = slices.DeleteFunc(s.making, func(e emptying) bool {
-		if s.now < e.until && s.stopsSome(e.worker) {
+		if s.now < e.until && s.hasStopping(e.worker) {
 			return false
 		}
 		s.cell.Unbar(e.worker, place.BarHeld)
@@ -273,7 +274,7 @@
 	return len(s.making) < before
 }
 
-// stopsSome reports whether any attempt on a worker is being stopped.
-func (s *Scheduler) stopsSome(ref place.Ref) bool {
+// hasStopping reports whether any attempt on a worker is being stopped.
+func (s *Scheduler) hasStopping(ref place.Ref) bool {
 	return slices.ContainsFunc(s.host(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
 }
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -68,11 +68,11 @@
 
 	Attempts    int // assigned so far, for all tasks
 	LastFailure string
-	Placements  []Placement // at most placementsMost
+	Placements  []Placement // at most maxPlacements
 }
 
-// placementsMost is the maximum number of placements in one explanation.
-const placementsMost = 16
+// maxPlacements is the maximum number of placements in one explanation.
+const maxPlacements = 16
 
 // Explain returns why a job waits, or where it runs. It checks every worker, so
 // it is meant for operators and must not be called on the placement path.
@@ -99,13 +99,13 @@
 		Entitled:    s.queue.Entitled(j.team.Team),
 		LimitUnits:  j.startUnits(),
 		UnitsInUse:  j.team.unitsInUse,
-		LimitBlocks: s.limited(j),
+		LimitBlocks: s.limitBlocks(j),
 		LastFailure: j.reason,
 	}
 	if j.open > 0 {
 		e.State = StateRunning
 	}
-	s.explainPlaces(j, &e)
+	s.explainPlacements(j, &e)
 	if e.Waiting > 0 {
 		s.explainWait(j, &e)
 	}
@@ -129,11 +129,11 @@
 	e.Accuracy = s.accuracy
 }
 
-func (s *Scheduler) explainPlaces(j *job, e *Explanation) {
+func (s *Scheduler) explainPlacements(j *job, e *Explanation) {
 	for i := range j.tasks {
 		e.Attempts += int(j.tasks[i].attempts)
 		a := j.tasks[i].run
-		if a == nil || len(e.Placements) == placementsMost {
+		if a == nil || len(e.Placements) == maxPlacements {
 			continue
 		}
 		w := s.cell.Worker(a.worker)
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -14,13 +14,13 @@
 		return false
 	}
 	if !s.tryUse(j.team, j.units*int64(j.spec.Tasks), j.item.Due) {
-		s.undo(refs, j)
+		s.undoReservations(refs, j)
 		return false
 	}
 	for _, ref := range refs {
 		s.assign(j, ref)
 	}
-	s.started(j)
+	s.tasksAssigned(j)
 	return true
 }
 
@@ -33,13 +33,13 @@
 		refs = s.reserveHeld(j, refs)
 	}
 	if !s.opts.FirstFit && place.Count(j.need, s.cell.Open(), int64(n)) < int64(n-len(refs)) {
-		s.undo(refs, j)
+		s.undoReservations(refs, j)
 		return nil
 	}
 	for len(refs) < n {
-		ref := s.look(j, place.None)
+		ref := s.pickWorker(j, place.None)
 		if ref == place.None || !s.cell.Reserve(ref, j.need) {
-			s.undo(refs, j)
+			s.undoReservations(refs, j)
 			return nil
 		}
 		refs = append(refs, ref)
@@ -62,8 +62,8 @@
 	return refs
 }
 
-// undo cancels reservations that no attempt uses.
-func (s *Scheduler) undo(refs []place.Ref, j *job) {
+// undoReservations cancels reservations that no attempt uses.
+func (s *Scheduler) undoReservations(refs []place.Ref, j *job) {
 	for _, ref := range refs {
 		s.cell.Undo(ref, j.need)
 	}
@@ -88,7 +88,7 @@
 	j.broken = true
 	j.faulty = !e.refused
 	if j.faulty {
-		j.reason = e.words()
+		j.reason = e.reasonText()
 	}
 	s.stopAttempts(j)
 }
@@ -99,17 +99,17 @@
 	if j.faulty {
 		j.failures++
 	}
-	again := j.failures < s.maxAttempts(j)
+	retry := j.failures < s.maxAttempts(j)
 	if j.spec.NonIdempotent && j.begun > 0 {
-		again = false
+		retry = false
 	}
-	if !again {
+	if !retry {
 		j.closed = true
 		return
 	}
 	j.broken, j.faulty, j.uncertain = false, false, false
 	j.done = 0
-	s.tryLater(j, 0, doubled(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
+	s.requeueAfter(j, 0, doubled(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
 }
 
 // readyGang queues all tasks of a gang for their next attempt.
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -15,16 +15,16 @@
 // holds is limited and each ends after Options.HoldFor, which bounds the
 // capacity that a wrong plan wastes.
 const (
-	maxHolds  = 4
-	planEvery = time.Second // least time between two rounds of planning
-	bulkyPart = 4           // a task is bulky if at most this many fit on the largest worker
+	maxHolds     = 4
+	planInterval = time.Second // least time between two rounds of planning
+	largeTaskFit = 4           // a task is large if at most this many fit on the largest worker
 
 	// A plan iterates over the expected ends of all running attempts. In a zone of
 	// 8,000 tasks, where services left no worker with enough capacity for the first
 	// jobs of 250 teams, planning for all of them each second used a third of a
 	// processor without any result.
-	maxPlans  = maxHolds         // new plans per round
-	planPause = 10 * time.Second // delay before a job that fits nowhere is planned again
+	maxNewPlans = maxHolds         // new plans per round
+	replanDelay = 10 * time.Second // delay before a job that fits nowhere is planned again
 )
 
 // hold is a reservation of workers for one job.
@@ -36,17 +36,17 @@
 	urgent  bool   // capacity is being freed by displacement; no other work may use it
 }
 
-// bulky reports whether a job may starve behind small work: it is a gang, or its
-// tasks are large compared with the largest worker.
-func (s *Scheduler) bulky(j *job, largest *place.Worker) bool {
+// mayStarve reports whether a job may starve behind small work: it is a gang, or
+// its tasks are large compared with the largest worker.
+func (s *Scheduler) mayStarve(j *job, largest *place.Worker) bool {
 	if j.gang() {
 		return true
 	}
-	return largest != nil && place.Count(j.need, largest.Size, bulkyPart+1) <= bulkyPart
+	return largest != nil && place.Count(j.need, largest.Size, largeTaskFit+1) <= largeTaskFit
 }
 
 // planHolds updates the planned starts of the holds and adds new holds, at most
-// once per planEvery.
+// once per planInterval.
 func (s *Scheduler) planHolds() {
 	if s.opts.Hold == HoldNone || (s.queue.Len() == 0 && len(s.holds) == 0) {
 		return
@@ -55,41 +55,42 @@
 		s.wake(&s.wakes.plan, s.planAt)
 		return
 	}
-	s.planAt = s.now + planEvery
+	s.planAt = s.now + planInterval
 	for _, h := range s.holds {
 		if at, ok := s.planOn(h.job, h.workers); ok {
 			h.at = at
 		}
 	}
 	largest := s.largest()
-	ripens, plans := false, 0
+	candidates, plans := false, 0
 	for _, t := range s.queue.Ordered() {
 		class := t.First(s.unlimited)
 		if class == nil {
 			continue
 		}
 		j := class.Head().Owner
-		if !s.bulky(j, largest) || j.hold != nil {
+		if !s.mayStarve(j, largest) || j.hold != nil {
 			continue
 		}
-		ripens = true
-		if s.ripe(j) && plans < maxPlans {
+		candidates = true
+		if s.mayHold(j) && plans < maxNewPlans {
 			plans++
-			s.plan(j)
+			s.planHold(j)
 		}
 	}
-	if ripens || len(s.holds) > 0 {
+	if candidates || len(s.holds) > 0 {
 		s.wake(&s.wakes.plan, s.planAt)
 	}
 }
 
 // unlimited reports whether the upper limit allows the head of a class to start.
 func (s *Scheduler) unlimited(class *queue.Class[*job]) bool {
-	return !s.limited(class.Head().Owner)
+	return !s.limitBlocks(class.Head().Owner)
 }
 
-// ripe reports whether workers may be held now for j, the first job of its team.
-func (s *Scheduler) ripe(j *job) bool {
+// mayHold reports whether workers may be held now for j, the first job of its
+// team.
+func (s *Scheduler) mayHold(j *job) bool {
 	t := j.team
 	if t.headJob != j {
 		t.headJob, t.headSince = j, s.now
@@ -100,12 +101,12 @@
 	return s.queue.Share(t.Team) <= s.queue.Entitled(t.Team)
 }
 
-// plan holds the workers on which the job is expected to fit first. It adds no
-// further hold if more than half of all workers would then be held.
-func (s *Scheduler) plan(j *job) {
+// planHold holds the workers on which the job is expected to fit first. It adds
+// no further hold if more than half of all workers would then be held.
+func (s *Scheduler) planHold(j *job) {
 	at, workers, ok := s.planner.earliest(s, j, 0)
 	if !ok {
-		j.noHold = s.now + planPause
+		j.noHold = s.now + replanDelay
 		return
 	}
 	held := len(workers)
@@ -166,7 +167,7 @@
 func (s *Scheduler) startHeld() {
 	for i := 0; i < len(s.holds); {
 		h := s.holds[i]
-		if !s.limited(h.job) && h.job.waiting() > 0 && s.heldRoom(h) {
+		if !s.limitBlocks(h.job) && h.job.waiting() > 0 && s.fitsHeld(h) {
 			s.start(h.job)
 		}
 		if i < len(s.holds) && s.holds[i] == h {
@@ -175,9 +176,9 @@
 	}
 }
 
-// heldRoom reports whether the job of a hold fits on the held workers: one task,
+// fitsHeld reports whether the job of a hold fits on the held workers: one task,
 // or all tasks of a gang.
-func (s *Scheduler) heldRoom(h *hold) bool {
+func (s *Scheduler) fitsHeld(h *hold) bool {
 	missing := int64(1)
 	if h.job.gang() {
 		missing = int64(h.job.spec.Tasks)
@@ -194,11 +195,11 @@
 	return false
 }
 
-// lookHeld returns a held worker on which a task of the job may start, or
+// pickHeldWorker returns a held worker on which a task of the job may start, or
 // place.None. The worker is held for the job, for work such as the job, or, with
 // HoldPlanned, for a job whose planned start is after the expected end of the
 // task.
-func (s *Scheduler) lookHeld(j *job) place.Ref {
+func (s *Scheduler) pickHeldWorker(j *job) place.Ref {
 	if j.hold != nil {
 		return s.placer.PackIn(j.hold.workers, place.BarHeld, j.need)
 	}
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -389,7 +389,7 @@
 				sent++
 			}
 		}
-		w.now += controlEvery
+		w.now += controlResendInterval
 		w.step(Tick{})
 	}
 	if sent < 5 {
@@ -414,8 +414,8 @@
 	if n := len(w.controls); n != 1 {
 		t.Fatalf("%d tasks got a control at once, want 1", n)
 	}
-	w.pass(comingFor)
+	w.pass(stopGrace)
 	if n := len(w.controls); n != 2 {
-		t.Errorf("%d tasks got a control after %s, want 2", n, comingFor)
+		t.Errorf("%d tasks got a control after %s, want 2", n, stopGrace)
 	}
 }
