--- a/sched/attempt_test.go
+++ b/sched/attempt_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// zone returns a world with n workers of 8 cores, two per rack.
-func zone(t *testing.T, n int, opts Options) *world {
+// newZone returns a world with n workers of 8 cores, two per rack.
+func newZone(t *testing.T, n int, opts Options) *world {
 	t.Helper()
 	w := newWorld(t, opts)
 	for i := range n {
@@ -27,7 +27,7 @@
 func TestNonIdempotentWorkIsNeverAttemptedTwice(t *testing.T) {
 	tests := []struct {
 		name    string
-		happens func(w *world)
+		act     func(w *world)
 		outcome work.Outcome
 		failed  bool
 	}{
@@ -39,11 +39,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := zone(t, 2, Options{})
+			w := newZone(t, 2, Options{})
 			spec := batch("a", 1, 1)
 			spec.NonIdempotent = true
 			job := w.accept(spec)
-			tt.happens(w)
+			tt.act(w)
 			w.pass(time.Hour)
 			end, ended := w.ended[job]
 			if !ended || end.Outcome != tt.outcome || end.Failed != tt.failed || len(w.ever) != 1 {
@@ -55,8 +55,8 @@
 
 // A refused start certainly did not run, so even a non-idempotent task is
 // started on another worker. The worker that refused gets no task for a while.
-func TestRefusedStartIsTriedElsewhere(t *testing.T) {
-	w := zone(t, 2, Options{})
+func TestRefusedStartIsRetriedOnAnotherWorker(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	spec := batch("a", 1, 1)
 	spec.NonIdempotent = true
 	w.accept(spec)
@@ -69,8 +69,8 @@
 
 // A task that always fails is retried with an increasing backoff until
 // MaxAttempts is reached. The job then ends as failed, with the reason.
-func TestRetriesStopAtTheirBound(t *testing.T) {
-	w := zone(t, 2, Options{BackoffMin: time.Second})
+func TestRetriesStopAtMaxAttempts(t *testing.T) {
+	w := newZone(t, 2, Options{BackoffMin: time.Second})
 	spec := batch("a", 1, 1)
 	spec.MaxAttempts = 3
 	job := w.accept(spec)
@@ -92,7 +92,7 @@
 // A job with a deadline waits for capacity in a full zone. Capacity is freed
 // exactly at the deadline, which is too late to start. The job ends as not run.
 func TestNothingStartsAfterItsDeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	late := batch("a", 1, 1)
 	late.Deadline = 10 * time.Second
@@ -106,8 +106,8 @@
 
 // The scheduler process was paused and receives a job after its deadline. The
 // job does not run, although it fits.
-func TestJobThatArrivesAfterItsDeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestJobAcceptedAfterItsDeadlineDoesNotRun(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 1, 1)
 	spec.Deadline = time.Second
 	job := ident.JobID{Seq: 7}
@@ -120,9 +120,9 @@
 // 20,000 waiting jobs are cancelled one by one. Placement would stall if each
 // cancellation searched the queue or leaked a timer. The one job that is not
 // cancelled must still start.
-func TestCancellationWave(t *testing.T) {
+func TestMassCancellationLeaksNoTimers(t *testing.T) {
 	const jobs = 20_000
-	w := zone(t, 1, Options{})
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	var ids []ident.JobID
 	for range jobs {
@@ -147,8 +147,8 @@
 
 // A running job is cancelled. Its tasks are stopped, and its outcome is unknown,
 // not "not run".
-func TestCancelledWhileRunning(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestCancelledRunningJobEndsAsUnknown(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	job := w.accept(batch("a", 4, 3))
 	w.step(JobCancelled{Job: job})
 	for len(w.running) > 0 {
@@ -165,8 +165,8 @@
 // A new scheduler takes over while one task is running, one is done, one was
 // lost and one never started. The running and the finished task must not be
 // started again, and the other two must be.
-func TestTakeover(t *testing.T) {
-	w := zone(t, 2, Options{})
+func TestTakeoverStartsNoTaskTwice(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	spec := batch("a", 1, 4)
 	job := ident.JobID{Zone: "a", Host: "old", Incarnation: 9, Seq: 1}
 	w.jobs[job] = spec
@@ -193,8 +193,8 @@
 
 // A non-idempotent task was assigned by the earlier leader and its result is not
 // known. It may have run, so its outcome is unknown and it is not started again.
-func TestTakeoverOfAnApproval(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestTakeoverDoesNotRestartNonIdempotentWork(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 1, 1)
 	spec.NonIdempotent = true
 	job := ident.JobID{Zone: "a", Host: "old", Incarnation: 9, Seq: 1}
@@ -206,8 +206,8 @@
 
 // A job that can never run is refused with the reason. A job that cannot start
 // before its deadline is refused with the delay after which to retry.
-func TestAdmission(t *testing.T) {
-	w := zone(t, 2, Options{})
+func TestAdmitNamesTheReasonOfRefusal(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	w.step(TeamsChanged{Teams: []Team{{ID: "a", Weight: 1}, {ID: "small", Weight: 1, Limit: 4}}})
 	for range 40 {
 		pressing := batch("a", 8, 1)
@@ -244,8 +244,8 @@
 
 // The end of an earlier attempt is reported again after the retry has started.
 // If it were applied to the new attempt, capacity still in use would be freed.
-func TestLateReportOfAnEarlierAttempt(t *testing.T) {
-	w := zone(t, 1, Options{BackoffMin: time.Second})
+func TestLateReportOfEarlierAttemptIsIgnored(t *testing.T) {
+	w := newZone(t, 1, Options{BackoffMin: time.Second})
 	w.accept(batch("a", 8, 1))
 	first := w.end(0, AttemptEnded{Failed: true})
 	w.pass(time.Second)
@@ -257,8 +257,8 @@
 
 // One task of a gang fails. The others cannot complete without it: they are
 // stopped, and all tasks start again together.
-func TestGangStartsAgainAsAWhole(t *testing.T) {
-	w := zone(t, 2, Options{BackoffMin: time.Second})
+func TestFailedGangRestartsAsAWhole(t *testing.T) {
+	w := newZone(t, 2, Options{BackoffMin: time.Second})
 	job := w.accept(gang("a", 4, 4))
 	w.end(0, AttemptEnded{Failed: true})
 	for len(w.running) > 0 {
@@ -274,9 +274,9 @@
 }
 
 // The only worker refuses a start. Retrying without a backoff would loop forever.
-func TestRefusingWorkerIsLeftAlone(t *testing.T) {
+func TestRefusedStartIsNotRetriedWithoutBackoff(t *testing.T) {
 	for _, reason := range []ports.Refusal{"", ports.RefusedCapacity} {
-		w := zone(t, 1, Options{})
+		w := newZone(t, 1, Options{})
 		w.accept(batch("a", 1, 1))
 		w.step(StartRefused{ID: w.take(0).ID, Reason: reason})
 		if len(w.running) != 0 {
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -16,7 +16,7 @@
 func TestGangDoesNotStarveBehindSmallWork(t *testing.T) {
 	for _, hold := range []Hold{HoldPlanned, HoldDrain, HoldNone} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
-			w := zone(t, 4, Options{Hold: hold, KeepRunning: true})
+			w := newZone(t, 4, Options{Hold: hold, KeepRunning: true})
 			feed := func() {
 				for w.s.Waiting() < 20 {
 					w.accept(batch("small", 2, 1))
@@ -39,7 +39,7 @@
 // Workers are held for a large job. Tasks that end before its planned start may
 // use them, so a hold does not delay short work; longer tasks may not.
 func TestShortWorkRunsOnHeldWorkers(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+	w := newZone(t, 2, Options{KeepRunning: true})
 	long := batch("a", 5, 1)
 	long.Run = time.Hour
 	w.accept(long)
@@ -59,8 +59,8 @@
 // The zone is full of displaceable work when an urgent job arrives. The job
 // starts once a task has been checkpointed, and that task starts again later. A
 // task that was displaced MaxDisplaced times is not displaced again.
-func TestUrgentWorkDisplacesWithinABound(t *testing.T) {
-	w := zone(t, 1, Options{MaxDisplaced: 2, KeepRunning: true})
+func TestTaskIsDisplacedAtMostMaxDisplacedTimes(t *testing.T) {
+	w := newZone(t, 1, Options{MaxDisplaced: 2, KeepRunning: true})
 	plain := batch("a", 8, 1)
 	plain.Displaceable = true
 	victim := w.accept(plain)
@@ -90,8 +90,8 @@
 // One worker fails every task immediately and is therefore always idle. Without
 // quarantine every job of the zone would be placed on it until all had failed.
 // With quarantine all jobs succeed, and the worker is used again after repair.
-func TestWorkerThatFailsEverything(t *testing.T) {
-	w := zone(t, 4, Options{})
+func TestWorkerThatFailsEveryTaskIsQuarantined(t *testing.T) {
+	w := newZone(t, 4, Options{})
 	bad := worker(0)
 	var jobs []ident.JobID
 	for i := range 60 {
@@ -99,12 +99,12 @@
 		spec.Name = fmt.Sprint(i % 5)
 		jobs = append(jobs, w.accept(spec))
 	}
-	tried := 0
+	placed := 0
 	for turn := 0; len(w.ended) < len(jobs) && turn < 2000; turn++ {
 		w.pass(time.Second)
 		for i := len(w.running) - 1; i >= 0; i-- {
 			if w.running[i].Worker == bad {
-				tried++
+				placed++
 				w.end(i, AttemptEnded{Failed: true, Reason: "broken disk"})
 			} else if turn%4 == i%4 {
 				w.end(i, AttemptEnded{Ran: time.Second})
@@ -116,8 +116,8 @@
 			t.Fatalf("job %s: %+v", job, end)
 		}
 	}
-	if tried > 12 {
-		t.Errorf("%d tasks were placed on the broken worker, want at most 12", tried)
+	if placed > 12 {
+		t.Errorf("%d tasks were placed on the broken worker, want at most 12", placed)
 	}
 	w.pass(time.Hour)
 	job := w.accept(batch("a", 8, 4))
@@ -131,8 +131,8 @@
 
 // All jobs of one team fail on every worker. The workers are healthy and must
 // not be quarantined, or the other teams would lose their capacity.
-func TestBrokenWorkSetsNoWorkerAside(t *testing.T) {
-	w := zone(t, 8, Options{})
+func TestFailingJobsDoNotQuarantineWorkers(t *testing.T) {
+	w := newZone(t, 8, Options{})
 	for i := range 100 {
 		spec := batch("broken", 8, 1)
 		spec.Name = "same"
@@ -151,7 +151,7 @@
 // One team submits 5,000 jobs. Work of another team that is within its fair
 // share starts as soon as any task ends, regardless of that backlog.
 func TestFloodDoesNotDelayAnotherTeam(t *testing.T) {
-	w := zone(t, 4, Options{KeepRunning: true})
+	w := newZone(t, 4, Options{KeepRunning: true})
 	w.step(TeamsChanged{Teams: []Team{{ID: "flood", Weight: 1}, {ID: "calm", Weight: 1}}})
 	for range 5000 {
 		w.accept(batch("flood", 1, 1))
@@ -165,8 +165,8 @@
 
 // Limit units are refused. The scheduler emits a Want, and the work starts after
 // the limit is raised. It retries by itself if no LimitChanged arrives.
-func TestUpperLimit(t *testing.T) {
-	w := zone(t, 2, Options{})
+func TestWorkBlockedByLimitStartsAfterItIsRaised(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	w.units.limit["a"] = 2
 	w.accept(batch("a", 1, 3))
 	if want := (Want{Team: "a", Units: 1}); len(w.running) != 2 || w.commands[2] != Command(want) {
@@ -182,8 +182,8 @@
 // Limit units are refused twice within a second. Then the limit is raised and
 // the LimitChanged event is lost. The retry timer of the first refusal fires
 // before the second refusal expires, so another timer must follow.
-func TestUpperLimitIsTriedAgainAfterASecondRefusal(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestLimitIsRetriedAfterASecondRefusal(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	w.units.limit["a"] = 1
 	w.accept(batch("a", 1, 2))
 	w.now += refusalFor / 2
@@ -198,8 +198,8 @@
 // A worker is drained before a planned removal. The service must not have fewer
 // replicas than declared: the old replica is stopped only after its replacement
 // has started, in another rack if possible.
-func TestServiceIsReplacedBeforeItIsRemoved(t *testing.T) {
-	w := zone(t, 6, Options{})
+func TestReplicaIsReplacedBeforeItIsStopped(t *testing.T) {
+	w := newZone(t, 6, Options{})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
 	w.step(ServiceDeclared{Service: "s", Job: service, Team: "a", Replicas: 3, Need: cpu(2)})
 	racks := map[string]bool{}
@@ -231,8 +231,8 @@
 // The worker of a replica is lost while batch work fills the zone. Without
 // displacement the replica would be missing until a batch task ends, which may
 // take hours.
-func TestLostReplicaMakesRoomForItself(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+func TestLostReplicaDisplacesBatchWork(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
 	w.step(ServiceDeclared{Service: "s", Job: service, Team: "a", Replicas: 1, Need: cpu(2)})
 	lost := w.running[0].Worker
@@ -256,8 +256,8 @@
 
 // The explanation of a waiting job names what an operator needs to know: its
 // place in the queue, the rejected workers by reason and the predicted start.
-func TestExplanation(t *testing.T) {
-	w := zone(t, 3, Options{})
+func TestExplainShowsWhyAJobWaits(t *testing.T) {
+	w := newZone(t, 3, Options{})
 	w.step(WorkerCordoned{Worker: worker(2), Cordoned: true})
 	w.shut[worker(2)] = true
 	w.accept(batch("b", 8, 2))
@@ -281,8 +281,8 @@
 
 // A running non-idempotent task is marked displaceable by mistake. Displacing it
 // would require a second attempt, so urgent work must wait until it ends.
-func TestApprovalsAreNotDisplaced(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestNonIdempotentWorkIsNotDisplaced(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 8, 1)
 	spec.Displaceable, spec.NonIdempotent = true, true
 	w.accept(spec)
@@ -297,8 +297,8 @@
 
 // A held worker is removed. If the hold continued, it would keep the other
 // workers idle for a start that can no longer happen.
-func TestHoldEndsWithItsWorker(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+func TestHoldEndsWhenItsWorkerIsRemoved(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	w.accept(batch("a", 5, 2))
 	w.accept(gang("b", 8, 2))
 	w.pass(5 * time.Second)
@@ -313,8 +313,8 @@
 
 // A team without competition fills the zone with long tasks. When work of another
 // team arrives, the shares must become equal before those tasks end.
-func TestSharesComeTogether(t *testing.T) {
-	w := zone(t, 4, Options{})
+func TestRebalanceReachesFairShares(t *testing.T) {
+	w := newZone(t, 4, Options{})
 	long := batch("first", 1, 64)
 	long.Displaceable = true
 	w.accept(long)
@@ -334,8 +334,8 @@
 
 // Two jobs of one team wait. The one with the earlier deadline starts first,
 // although it was accepted later.
-func TestEarliestDeadlineFirst(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestEarliestDeadlineStartsFirst(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	relaxed, tight := batch("a", 8, 1), batch("a", 8, 1)
 	relaxed.Deadline, tight.Deadline = time.Hour, time.Minute
@@ -350,8 +350,8 @@
 // A team fills its zone with long tasks, then submits an approval with a
 // deadline. No task ends before that deadline: without displacement the approval
 // would end as not run, although the team has displaceable work of its own.
-func TestOwnWorkMakesRoomNearADeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+func TestWorkNearItsDeadlineDisplacesWorkOfItsTeam(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	long := batch("a", 4, 2)
 	long.Displaceable = true
 	w.accept(long)
@@ -374,8 +374,8 @@
 // A worker does not execute the control that checkpoints a task, because the
 // control is lost or the worker cannot checkpoint. The control must be resent,
 // and the hold of the worker for urgent work must end.
-func TestControlThatIsNotFollowed(t *testing.T) {
-	w := zone(t, 1, Options{Hold: HoldNone})
+func TestControlIsResentAndItsHoldEnds(t *testing.T) {
+	w := newZone(t, 1, Options{Hold: HoldNone})
 	long := batch("a", 6, 1)
 	long.Displaceable = true
 	w.accept(long)
@@ -403,8 +403,8 @@
 // A task is checkpointed for urgent work and does not stop. The urgent work must
 // not wait until the hold of that worker ends (30 s): after 1 s another task is
 // displaced.
-func TestUrgentWorkDoesNotWaitForATaskThatDoesNotStop(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+func TestUrgentWorkDisplacesAnotherTaskWhenOneDoesNotStop(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	plain := batch("a", 8, 2)
 	plain.Displaceable = true
 	w.accept(plain)
