--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -9,21 +9,20 @@
 	"github.com/fireflyfold/fireflyfold/leader"
 )
 
-// The log's watches hear nothing of new records for a while, though it takes
-// appends. Jobs that are accepted meanwhile would wait for the leader's next read to
-// bring them, and the urgent ones among them come too late. The host that accepted
-// a job tells the leader of it.
-func TestLeaderIsToldOfKeptJobs(t *testing.T) {
-	f := newFleet(t, 2, 2, 50*time.Millisecond)
-	f.store.Hush(leader.TopicIntake, true)
+// The log takes appends, but its waiting reads return no new records for a while. Jobs
+// accepted meanwhile would wait for the leader's next read, and urgent ones would miss
+// their deadlines. The host that accepts a job notifies the leader of it.
+func TestLeaderIsNotifiedOfAppendedJobs(t *testing.T) {
+	f := newTestRegion(t, 2, 2, 50*time.Millisecond)
+	f.store.SuppressReads(leader.TopicIntake, true)
 	for n, m := range f.hosts {
 		if status, _ := f.call(m, http.MethodPost, jobPath(n), "k1", twoTasks); status != http.StatusOK {
 			t.Fatalf("submission answered %d", status)
 		}
-		f.until("the job is completed", func() bool { return f.completed(m, n) })
+		f.waitUntil("the job is completed", func() bool { return f.completed(m, n) })
 	}
-	f.store.Hush(leader.TopicIntake, false)
-	f.until("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
+	f.store.SuppressReads(leader.TopicIntake, false)
+	f.waitUntil("the records have been read", func() bool { return f.completed(f.hosts[0], 1) })
 	for task, n := range f.starts() {
 		if n != 1 {
 			t.Errorf("task %s started %d times", task, n)
@@ -31,21 +30,21 @@
 	}
 }
 
-// A host reaches neither the log nor any other host: its zone is cut off. A caller
-// who stays with it would be refused for as long as the cut lasts, and a submission
-// would be held to its deadline. The host is not ready, ends its callers'
-// connections, and says at once that it does not know what became of a submission.
-func TestIsolatedHostSendsCallersAway(t *testing.T) {
-	f := newFleet(t, 2, 1, 50*time.Millisecond)
+// A host in a zone that is cut off reaches neither the log nor any other host. A caller
+// that stays connected would be refused until the partition heals, and a submission
+// would wait until its deadline. The host must become unready, close its callers'
+// connections, and answer a submission at once with an unknown outcome or a refusal.
+func TestIsolatedHostClosesCallerConnections(t *testing.T) {
+	f := newTestRegion(t, 2, 1, 50*time.Millisecond)
 	first := f.leader()
-	cut := f.otherThan(first)
-	if status, _ := f.call(cut, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
-		t.Fatal("not accepted before the cut")
+	isolated := f.lastOther(first)
+	if status, _ := f.call(isolated, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
+		t.Fatal("submission not accepted before the partition")
 	}
-	cut.door.Silence(true)
+	isolated.door.Blackhole(true)
 	first.stop()
 	<-first.done
-	req, err := http.NewRequest(http.MethodPost, "http://"+cut.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+isolated.settings.Front+jobPath(2), bytes.NewReader([]byte(twoTasks)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,12 +60,12 @@
 		t.Errorf("submission answered %d", resp.StatusCode)
 	}
 	if !resp.Close {
-		t.Error("the caller's connection is kept")
+		t.Error("the caller's connection was not closed")
 	}
-	if cut.Ready() {
-		t.Error("the host is ready")
+	if isolated.Ready() {
+		t.Error("the isolated host is ready")
 	}
-	cut.door.Silence(false)
-	f.until("it leads after the cut", func() bool { return f.leader() == cut })
-	f.until("the job is completed", func() bool { return f.completed(cut, 1) })
+	isolated.door.Blackhole(false)
+	f.waitUntil("the host leads after the partition", func() bool { return f.leader() == isolated })
+	f.waitUntil("the job is completed", func() bool { return f.completed(isolated, 1) })
 }
--- a/soak/audit_test.go
+++ b/soak/audit_test.go
@@ -69,7 +69,7 @@
 }
 
 // see takes in what a worker saw.
-func (a *audit) see(e fakeplatform.WorkerSaw) {
+func (a *audit) see(e fakeplatform.WorkerEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := runID{e.Task, e.Run}
@@ -80,17 +80,17 @@
 		delete(a.alive[e.Task], e.Worker)
 		a.ended[e.Task] = true
 		a.done[e.Task] = append(a.done[e.Task], id)
-	case fakeplatform.RunOver:
+	case fakeplatform.RunAborted:
 		delete(a.alive[e.Task], e.Worker)
-	case fakeplatform.EndForgot:
+	case fakeplatform.EndDropped:
 		a.forgotten[id] = true
 		a.done[e.Task] = slices.DeleteFunc(a.done[e.Task], func(done runID) bool { return done == id })
-	case fakeplatform.EndNoted:
+	case fakeplatform.EndAcked:
 		a.note(id)
 	}
 }
 
-func (a *audit) start(e fakeplatform.WorkerSaw) {
+func (a *audit) start(e fakeplatform.WorkerEvent) {
 	job, step, ok := splitTask(e.Task)
 	spec, known := a.specs[job]
 	switch {
