--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -35,7 +35,7 @@
 // ending is the result of an attempt.
 type ending struct {
 	refused bool // it did not run
-	pause   bool // with refused: the worker is not the cause, so the retry waits for a backoff
+	backoff bool // with refused: the worker is not the cause, so the retry waits for a backoff
 	failed  bool
 	stopped bool
 	lost    bool // unknown whether and how far it ran
@@ -136,7 +136,7 @@
 	}
 	s.release(a)
 	s.workerRefused(a.worker, ev.Reason)
-	s.conclude(a, ending{refused: true, pause: ev.Reason == ""})
+	s.conclude(a, ending{refused: true, backoff: ev.Reason == ""})
 }
 
 func (s *Scheduler) attemptEnded(ev AttemptEnded) {
@@ -172,7 +172,7 @@
 	switch {
 	case j.gang():
 		s.concludeGang(a, e)
-	case e.refused && e.pause:
+	case e.refused && e.backoff:
 		s.requeueAfter(j, a.id.Index, s.opts.BackoffMin)
 	case e.refused:
 		j.ready = append(j.ready, int32(a.id.Index))
--- a/sched/service.go
+++ b/sched/service.go
@@ -120,7 +120,7 @@
 	svc.spread.Add(s.cell, a.worker, -1)
 	s.dirty = true
 	switch {
-	case e.refused && e.pause:
+	case e.refused && e.backoff:
 		svc.notUntil = s.now + s.opts.BackoffMin
 		s.after(timer{at: svc.notUntil, kind: timerService, service: svc})
 	case a.stopping != "" || e.lost || e.refused:
