--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -28,7 +28,7 @@
 	excessCPU   int64         // measured milli-cpu above the need
 	stopping    ports.Control
 	stopAt      timeOf // time of the first control
-	yields      bool   // displaced for urgent work or a service replica
+	requeueLast bool   // displaced for urgent work or a service replica
 	ended       bool
 }
 
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -245,7 +245,7 @@
 			return
 		}
 		if helps(need, room, a.need) {
-			a.yields = eligible == nil
+			a.requeueLast = eligible == nil
 			s.stop(a, ports.ControlCheckpoint)
 			room = room.Add(a.need)
 		}
--- a/sched/job.go
+++ b/sched/job.go
@@ -99,7 +99,7 @@
 
 // waitDisplaced lets the task of a displaced attempt wait for the next one.
 func (j *job) waitDisplaced(a *attempt) {
-	if a.yields {
+	if a.requeueLast {
 		j.later = append(j.later, int32(a.id.Index))
 		return
 	}
