--- a/sched/displace.go
+++ b/sched/displace.go
@@ -33,10 +33,10 @@
 // displaced returns how many times the task of an attempt was displaced.
 func (a *attempt) displaced() int { return int(a.job.tasks[a.id.Index].displaced) }
 
-// emptying is a worker on which tasks are being checkpointed. Until they have
+// displacement is a worker on which tasks are being checkpointed. Until they have
 // ended, the worker is held for a replica of a service, for work of one team or,
 // if neither is set, for urgent work.
-type emptying struct {
+type displacement struct {
 	worker  place.Ref
 	until   timeOf // latest end of the hold
 	team    *team
@@ -124,12 +124,12 @@
 		s.hold(&hold{job: j, workers: workers, at: at, first: at, urgent: true})
 		return
 	}
-	s.empty(workers, emptying{team: heldFor})
+	s.empty(workers, displacement{team: heldFor})
 }
 
 // empty holds workers on which tasks are being checkpointed, for the work that
 // entry names.
-func (s *Scheduler) empty(workers []place.Ref, entry emptying) {
+func (s *Scheduler) empty(workers []place.Ref, entry displacement) {
 	entry.until = s.now + emptyMost
 	s.after(timer{at: entry.until, kind: timerWake})
 	s.after(timer{at: s.now + stopGrace, kind: timerWake})
@@ -141,7 +141,7 @@
 }
 
 // mayUse reports whether the worker is held for work such as the job.
-func (e emptying) mayUse(j *job) bool {
+func (e displacement) mayUse(j *job) bool {
 	switch {
 	case e.service != nil:
 		return false
@@ -264,7 +264,7 @@
 // work that they were held for. It reports whether any worker was released.
 func (s *Scheduler) endDisplacements() bool {
 	before := len(s.making)
-	s.making = slices.DeleteFunc(s.making, func(e emptying) bool {
+	s.making = slices.DeleteFunc(s.making, func(e displacement) bool {
 		if s.now < e.until && s.hasStopping(e.worker) {
 			return false
 		}
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -160,7 +160,7 @@
 			s.endHold(h)
 		}
 	}
-	s.making = slices.DeleteFunc(s.making, func(e emptying) bool { return e.worker == ref })
+	s.making = slices.DeleteFunc(s.making, func(e displacement) bool { return e.worker == ref })
 }
 
 // startHeld starts the jobs that fit on the workers held for them.
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -35,7 +35,7 @@
 	dirty       bool   // something happened that could let work start
 	planAt      timeOf // no planning before this time
 	planner     planner
-	making      []emptying
+	making      []displacement
 	displaceAt  timeOf                                           // no displacing before this time
 	rebalanceAt timeOf                                           // no rebalancing before this time
 	wakes       struct{ plan, displace, rebalance, look timeOf } // last wake-ups that were set
