--- a/sched/displace.go
+++ b/sched/displace.go
@@ -43,10 +43,10 @@
 	service *service
 }
 
-// emptyMost bounds how long a worker is held while tasks on it are being
+// maxDisplacementHold bounds how long a worker is held while tasks on it are being
 // checkpointed. Without the bound, a worker that cannot checkpoint would be
 // held forever.
-const emptyMost = 30 * time.Second
+const maxDisplacementHold = 30 * time.Second
 
 // victimFilter selects among the displaceable attempts. A nil victimFilter
 // selects all.
@@ -130,7 +130,7 @@
 // empty holds workers on which tasks are being checkpointed, for the work that
 // entry names.
 func (s *Scheduler) empty(workers []place.Ref, entry displacement) {
-	entry.until = s.now + emptyMost
+	entry.until = s.now + maxDisplacementHold
 	s.after(timer{at: entry.until, kind: timerWake})
 	s.after(timer{at: s.now + stopGrace, kind: timerWake})
 	for _, ref := range workers {
--- a/sched/plan.go
+++ b/sched/plan.go
@@ -51,7 +51,7 @@
 // expectedEnd returns when an attempt is expected to end. One that ran over
 // its expected time is given a quarter of what it ran so far.
 func (s *Scheduler) expectedEnd(a *attempt) timeOf {
-	if a.stopping != "" && s.now < a.stopAt+emptyMost {
+	if a.stopping != "" && s.now < a.stopAt+maxDisplacementHold {
 		return s.now + stopTime
 	}
 	ran := s.now - a.since
