--- a/sched/displace.go
+++ b/sched/displace.go
@@ -124,12 +124,12 @@
 		s.hold(&hold{job: j, workers: workers, at: at, first: at, urgent: true})
 		return
 	}
-	s.empty(workers, displacement{team: heldFor})
+	s.holdDisplacing(workers, displacement{team: heldFor})
 }
 
-// empty holds workers on which tasks are being checkpointed, for the work that
+// holdDisplacing holds workers on which tasks are being checkpointed, for the work that
 // entry names.
-func (s *Scheduler) empty(workers []place.Ref, entry displacement) {
+func (s *Scheduler) holdDisplacing(workers []place.Ref, entry displacement) {
 	entry.until = s.now + maxDisplacementHold
 	s.after(timer{at: entry.until, kind: timerWake})
 	s.after(timer{at: s.now + stopGrace, kind: timerWake})
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -46,7 +46,7 @@
 	for _, ref := range workers {
 		s.checkpoint(ref, j.need, over)
 	}
-	s.empty(workers, displacement{team: under})
+	s.holdDisplacing(workers, displacement{team: under})
 }
 
 // demands returns what each team uses and should have, by its number. Tasks
--- a/sched/service.go
+++ b/sched/service.go
@@ -269,7 +269,7 @@
 	for _, ref := range workers {
 		s.checkpoint(ref, svc.need, nil)
 	}
-	s.empty(workers, displacement{service: svc})
+	s.holdDisplacing(workers, displacement{service: svc})
 }
 
 // emptied returns a worker on which room was made for the service, or
