--- a/sched/displace.go
+++ b/sched/displace.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// nearPart defines when a deadline is near: when 1/nearPart (half) of the time
+// nearDeadlineDivisor defines when a deadline is near: when 1/nearDeadlineDivisor (half) of the time
 // between acceptance and deadline is over.
-const nearPart = 2
+const nearDeadlineDivisor = 2
 
 // nearDeadline reports whether the head of a class, which has failed to fit, is
 // near its deadline. Urgent work and gangs are left out.
@@ -87,7 +87,7 @@
 		return false
 	}
 	j := class.Head().Owner
-	return j.spec.Deadline > 0 && !j.gang() && s.now >= j.accepted+j.spec.Deadline/nearPart
+	return j.spec.Deadline > 0 && !j.gang() && s.now >= j.accepted+j.spec.Deadline/nearDeadlineDivisor
 }
 
 // displaceFor frees capacity for the waiting tasks of a class by displacing the
