--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -211,7 +211,7 @@
 	t.last = a.worker
 	j.reason = e.reasonText()
 	if int(t.failures) < s.maxAttempts(j) && !s.hitTimeLimit(j, e) {
-		s.requeueAfter(j, a.id.Index, doubled(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
+		s.requeueAfter(j, a.id.Index, exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
 		return
 	}
 	j.failed++
--- a/sched/defaults.go
+++ b/sched/defaults.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// doubled returns an exponential backoff: least, doubled once for each earlier
+// exponentialBackoff returns an exponential backoff: least, exponentialBackoff once for each earlier
 // attempt, up to most.
-func doubled(least, most time.Duration, earlier int) time.Duration {
+func exponentialBackoff(least, most time.Duration, earlier int) time.Duration {
 	for delay := least; ; delay *= 2 {
 		if earlier <= 0 || delay >= most {
 			return min(delay, most)
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -109,7 +109,7 @@
 	}
 	j.broken, j.faulty, j.uncertain = false, false, false
 	j.done = 0
-	s.requeueAfter(j, 0, doubled(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
+	s.requeueAfter(j, 0, exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
 }
 
 // readyGang queues all tasks of a gang for their next attempt.
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -65,7 +65,7 @@
 
 // quarantine sets a worker aside, each time for twice as long.
 func (s *Scheduler) quarantine(ref place.Ref, h *host) {
-	delay := doubled(s.opts.QuarantineMin, s.opts.QuarantineMax, h.sentences)
+	delay := exponentialBackoff(s.opts.QuarantineMin, s.opts.QuarantineMax, h.sentences)
 	h.sentences++
 	h.streak = 0
 	h.returns = s.now + delay
@@ -102,7 +102,7 @@
 		return
 	}
 	h := s.host(ref)
-	delay := doubled(refusalBackoff, s.opts.QuarantineMin, h.refusals)
+	delay := exponentialBackoff(refusalBackoff, s.opts.QuarantineMin, h.refusals)
 	h.refusals++
 	h.accepts = s.now + delay
 	s.cell.Bar(ref, place.BarBackoff)
--- a/sched/service.go
+++ b/sched/service.go
@@ -128,7 +128,7 @@
 		svc.failures = 0
 	default:
 		svc.last = a.worker
-		svc.notUntil = s.now + doubled(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
+		svc.notUntil = s.now + exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
 		svc.failures++
 		s.after(timer{at: svc.notUntil, kind: timerService, service: svc})
 	}
