--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -42,7 +42,7 @@
 // startAlike starts jobs of the same class as j until one cannot start.
 func (s *Scheduler) startAlike(j *job) {
 	class := j.item.Class()
-	for class != nil && class.Len() > 0 && s.open(class) {
+	for class != nil && class.Len() > 0 && s.mayStart(class) {
 		s.start(class.Head().Owner)
 	}
 }
@@ -66,9 +66,9 @@
 	return s.queue.First(s.openFunc)
 }
 
-// open reports whether the head of a class might start: the units of its team
+// mayStart reports whether the head of a class might start: the units of its team
 // are not refused, and capacity was freed since the class last failed to fit.
-func (s *Scheduler) open(class *queue.Class[*job]) bool {
+func (s *Scheduler) mayStart(class *queue.Class[*job]) bool {
 	if class.Mark != 0 && !s.mayFit(class) {
 		return false
 	}
--- a/sched/job.go
+++ b/sched/job.go
@@ -167,7 +167,7 @@
 		}
 		s.queue.Push(j.team.Team, j.shape(), &j.item)
 	}
-	if j.waiting() == 0 || !s.open(j.item.Class()) {
+	if j.waiting() == 0 || !s.mayStart(j.item.Class()) {
 		return
 	}
 	if s.newest == nil {
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -28,7 +28,7 @@
 // predictArrival predicts the start of a job that has to wait, for a sample
 // of the jobs, so that the error of predictions is known.
 func (s *Scheduler) predictArrival(j *job) {
-	if s.opts.FirstFit || s.now < s.sampleAt || j.over || s.open(j.item.Class()) {
+	if s.opts.FirstFit || s.now < s.sampleAt || j.over || s.mayStart(j.item.Class()) {
 		return
 	}
 	s.sampleAt = s.now + sampleEvery
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -60,7 +60,7 @@
 		services:  map[ident.ServiceID]*service{},
 		serviceOf: map[ident.JobID]*service{},
 	}
-	s.openFunc = s.open
+	s.openFunc = s.mayStart
 	return s
 }
 
