--- a/sched/hold.go
+++ b/sched/hold.go
@@ -64,7 +64,7 @@
 	largest := s.largest()
 	candidates, plans := false, 0
 	for _, t := range s.queue.Ordered() {
-		class := t.First(s.unlimited)
+		class := t.First(s.limitAllows)
 		if class == nil {
 			continue
 		}
@@ -83,8 +83,8 @@
 	}
 }
 
-// unlimited reports whether the upper limit allows the head of a class to start.
-func (s *Scheduler) unlimited(class *queue.Class[*job]) bool {
+// limitAllows reports whether the upper limit allows the head of a class to start.
+func (s *Scheduler) limitAllows(class *queue.Class[*job]) bool {
 	return !s.limitBlocks(class.Head().Owner)
 }
 
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -34,7 +34,7 @@
 		return
 	}
 	s.wake(&s.wakes.rebalance, s.rebalanceAt)
-	j := under.First(s.unlimited).Head().Owner
+	j := under.First(s.limitAllows).Head().Owner
 	over := func(a *attempt) bool {
 		d := &demands[a.team.number]
 		return d.Used-d.Fair > shareSlack
@@ -56,7 +56,7 @@
 	for i, t := range s.teamList {
 		used := t.Used.Sub(t.stopping).Dominant(s.cell.Total())
 		demands[i] = queue.Demand{Weight: t.Weight, Used: used, Wants: used}
-		if class := t.First(s.unlimited); class != nil && class.Shape.Gang == 0 {
+		if class := t.First(s.limitAllows); class != nil && class.Shape.Gang == 0 {
 			demands[i].Wants = math.Inf(1)
 		}
 	}
