--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -39,8 +39,8 @@
 	s.planHolds()
 }
 
-// startAlike starts jobs of the same class as j until one cannot start.
-func (s *Scheduler) startAlike(j *job) {
+// startSameClass starts jobs of the same class as j until one cannot start.
+func (s *Scheduler) startSameClass(j *job) {
 	class := j.item.Class()
 	for class != nil && class.Len() > 0 && s.mayStart(class) {
 		s.start(class.Head().Owner)
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -83,7 +83,7 @@
 	newest := s.newest
 	s.newest = nil
 	if newest != nil && !s.dirty {
-		s.startAlike(newest)
+		s.startSameClass(newest)
 		s.makeRoom()
 	}
 	if s.dirty {
