--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -22,12 +22,12 @@
 			break
 		}
 	}
-	s.makeRoom()
+	s.freeCapacity()
 }
 
-// makeRoom frees or reserves capacity for work that could not start: it
+// freeCapacity frees or reserves capacity for work that could not start: it
 // displaces tasks, rebalances the shares and plans holds.
-func (s *Scheduler) makeRoom() {
+func (s *Scheduler) freeCapacity() {
 	if s.opts.FirstFit {
 		return
 	}
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -84,7 +84,7 @@
 	s.newest = nil
 	if newest != nil && !s.dirty {
 		s.startSameClass(newest)
-		s.makeRoom()
+		s.freeCapacity()
 	}
 	if s.dirty {
 		s.dirty = false
