--- a/sched/hold.go
+++ b/sched/hold.go
@@ -153,8 +153,8 @@
 	s.endHold(h)
 }
 
-// dropHolds ends the holds that include a worker that is being removed.
-func (s *Scheduler) dropHolds(ref place.Ref) {
+// endHoldsOn ends the holds that include a worker that is being removed.
+func (s *Scheduler) endHoldsOn(ref place.Ref) {
 	for _, h := range slices.Clone(s.holds) {
 		if slices.Contains(h.workers, ref) {
 			s.endHold(h)
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -71,7 +71,7 @@
 		return
 	}
 	s.cell.Bar(ref, place.BarCordoned)
-	s.dropHolds(ref)
+	s.endHoldsOn(ref)
 	h := s.host(ref)
 	for len(h.attempts) > 0 {
 		a := h.attempts[len(h.attempts)-1]
