--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -284,10 +284,10 @@
 	if !ok {
 		return nil
 	}
-	if len(refused.Lacks) > 0 && !e.sizesKnown() {
+	if len(refused.Reasons) > 0 && !e.sizesKnown() {
 		return nil // the workers that could run it may not be known yet
 	}
-	if len(refused.Lacks) > 0 {
+	if len(refused.Reasons) > 0 {
 		return &JobRefusedError{Refusal: RefusedNoFit, Detail: refused.Error()}
 	}
 	return &JobRefusedError{Refusal: RefusedBusy, Detail: refused.Error(), RetryAfter: refused.RetryAfter}
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -13,7 +13,7 @@
 // RefusedError is the error of a job that admission control rejects. The job
 // did not run.
 type RefusedError struct {
-	Lacks      []string      // why the job can never run; empty if it may run later
+	Reasons    []string      // why the job can never run; empty if it may run later
 	Waiting    int           // waiting jobs of the team
 	Wait       time.Duration // expected wait of the job
 	RetryAfter time.Duration // delay before a retry may be accepted; zero if it never will be
@@ -21,8 +21,8 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	if len(e.Lacks) > 0 {
-		return "refused: " + strings.Join(e.Lacks, "; ")
+	if len(e.Reasons) > 0 {
+		return "refused: " + strings.Join(e.Reasons, "; ")
 	}
 	return fmt.Sprintf("refused: %d jobs of the team wait, %s expected; retry after %s",
 		e.Waiting, e.Wait.Round(time.Second), e.RetryAfter.Round(time.Second))
@@ -48,7 +48,7 @@
 		problems = s.limitProblems(spec)
 	}
 	if len(problems) > 0 {
-		return &RefusedError{Lacks: problems}
+		return &RefusedError{Reasons: problems}
 	}
 	return nil
 }
