--- a/sched/defaults.go
+++ b/sched/defaults.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// exponentialBackoff returns an exponential backoff: least, exponentialBackoff once for each earlier
-// attempt, up to most.
+// exponentialBackoff returns least, doubled once for each earlier attempt, up to
+// most.
 func exponentialBackoff(least, most time.Duration, earlier int) time.Duration {
 	for delay := least; ; delay *= 2 {
 		if earlier <= 0 || delay >= most {
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -66,8 +66,9 @@
 	return s.queue.First(s.openFunc)
 }
 
-// mayStart reports whether the head of a class might start: the units of its team
-// are not refused, and capacity was freed since the class last failed to fit.
+// mayStart reports whether the head of a class might start: the units of its
+// team are not refused, and capacity was freed since the class last failed to
+// fit.
 func (s *Scheduler) mayStart(class *queue.Class[*job]) bool {
 	if class.Mark != 0 && !s.mayFit(class) {
 		return false
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -33,9 +33,9 @@
 // displaced returns how many times the task of an attempt was displaced.
 func (a *attempt) displaced() int { return int(a.job.tasks[a.id.Index].displaced) }
 
-// displacement is a worker on which tasks are being checkpointed. Until they have
-// ended, the worker is held for a replica of a service, for work of one team or,
-// if neither is set, for urgent work.
+// displacement is a worker on which tasks are being checkpointed. Until they
+// have ended, the worker is held for a replica of a service, for work of one
+// team or, if neither is set, for urgent work.
 type displacement struct {
 	worker  place.Ref
 	until   timeOf // latest end of the hold
@@ -43,9 +43,9 @@
 	service *service
 }
 
-// maxDisplacementHold bounds how long a worker is held while tasks on it are being
-// checkpointed. Without the bound, a worker that cannot checkpoint would be
-// held forever.
+// maxDisplacementHold bounds how long a worker is held while tasks on it are
+// being checkpointed. Without the bound, a worker that cannot checkpoint would
+// be held forever.
 const maxDisplacementHold = 30 * time.Second
 
 // victimFilter selects among the displaceable attempts. A nil victimFilter
@@ -76,7 +76,7 @@
 	}
 }
 
-// nearDeadlineDivisor defines when a deadline is near: when 1/nearDeadlineDivisor (half) of the time
+// nearDeadlineDivisor defines when a deadline is near: when half of the time
 // between acceptance and deadline is over.
 const nearDeadlineDivisor = 2
 
@@ -127,8 +127,8 @@
 	s.holdDisplacing(workers, displacement{team: heldFor})
 }
 
-// holdDisplacing holds workers on which tasks are being checkpointed, for the work that
-// entry names.
+// holdDisplacing holds workers on which tasks are being checkpointed, for the
+// work that entry names.
 func (s *Scheduler) holdDisplacing(workers []place.Ref, entry displacement) {
 	entry.until = s.now + maxDisplacementHold
 	s.after(timer{at: entry.until, kind: timerWake})
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// limitAllows reports whether the upper limit allows the head of a class to start.
+// limitAllows reports whether the upper limit allows the head of a class to
+// start.
 func (s *Scheduler) limitAllows(class *queue.Class[*job]) bool {
 	return !s.limitBlocks(class.Head().Owner)
 }
