--- a/sched/attempt_test.go
+++ b/sched/attempt_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// zone returns a world with n workers of 8 cores, two to a rack.
-func zone(t *testing.T, n int, opts Options) *world {
+// newZone returns a world with n workers of 8 cores, two per rack.
+func newZone(t *testing.T, n int, opts Options) *world {
 	t.Helper()
 	w := newWorld(t, opts)
 	for i := range n {
@@ -20,14 +20,14 @@
 	return w
 }
 
-// An approval runs, and then its worker is lost, or the task is stopped, or
-// nobody knows how it ended. The caller must not see the approval done twice,
-// nor be told that it did not run: the cause is that a second attempt cannot
-// know how far the first one came.
+// A non-idempotent task (an approval) ends well, fails, is stopped, ends with an
+// unknown result, or loses its worker. It must not run a second time, because
+// the second attempt cannot know how far the first one got. If the first one was
+// interrupted, the outcome must be unknown, not "not run".
 func TestNonIdempotentWorkIsNeverAttemptedTwice(t *testing.T) {
 	tests := []struct {
 		name    string
-		happens func(w *world)
+		act     func(w *world)
 		outcome work.Outcome
 		failed  bool
 	}{
@@ -39,11 +39,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := zone(t, 2, Options{})
+			w := newZone(t, 2, Options{})
 			spec := batch("a", 1, 1)
 			spec.NonIdempotent = true
 			job := w.accept(spec)
-			tt.happens(w)
+			tt.act(w)
 			w.pass(time.Hour)
 			end, ended := w.ended[job]
 			if !ended || end.Outcome != tt.outcome || end.Failed != tt.failed || len(w.ever) != 1 {
@@ -53,10 +53,10 @@
 	}
 }
 
-// A refused start truly did not run, so that even an approval is started
-// elsewhere, and the worker that refused is left alone for a while.
-func TestRefusedStartIsTriedElsewhere(t *testing.T) {
-	w := zone(t, 2, Options{})
+// A refused start certainly did not run, so even a non-idempotent task is
+// started on another worker. The worker that refused gets no task for a while.
+func TestRefusedStartIsRetriedOnAnotherWorker(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	spec := batch("a", 1, 1)
 	spec.NonIdempotent = true
 	w.accept(spec)
@@ -67,10 +67,10 @@
 	}
 }
 
-// A task that always fails is tried again after growing pauses, stops at its
-// bound, and the caller learns the reason.
-func TestRetriesStopAtTheirBound(t *testing.T) {
-	w := zone(t, 2, Options{BackoffMin: time.Second})
+// A task that always fails is retried with an increasing backoff until
+// MaxAttempts is reached. The job then ends as failed, with the reason.
+func TestRetriesStopAtMaxAttempts(t *testing.T) {
+	w := newZone(t, 2, Options{BackoffMin: time.Second})
 	spec := batch("a", 1, 1)
 	spec.MaxAttempts = 3
 	job := w.accept(spec)
@@ -78,7 +78,7 @@
 		w.end(0, AttemptEnded{Failed: true, Reason: "disk full"})
 		w.pass(pause - time.Millisecond)
 		if len(w.running) != 0 {
-			t.Fatalf("tried again before %s had passed", pause)
+			t.Fatalf("retried before the backoff of %s was over", pause)
 		}
 		w.pass(time.Millisecond)
 	}
@@ -89,11 +89,10 @@
 	}
 }
 
-// A job with a deadline waits behind a full zone. Room comes free at the very
-// moment of the deadline: it is then too late to start, and the caller is told
-// that nothing ran.
+// A job with a deadline waits for capacity in a full zone. Capacity is freed
+// exactly at the deadline, which is too late to start. The job ends as not run.
 func TestNothingStartsAfterItsDeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	late := batch("a", 1, 1)
 	late.Deadline = 10 * time.Second
@@ -105,10 +104,10 @@
 	}
 }
 
-// The scheduler learns of a job only after its deadline, because its process
-// was paused meanwhile. There is room, but it is too late.
-func TestJobThatArrivesAfterItsDeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+// The scheduler process was paused and receives a job after its deadline. The
+// job does not run, although it fits.
+func TestJobAcceptedAfterItsDeadlineDoesNotRun(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 1, 1)
 	spec.Deadline = time.Second
 	job := ident.JobID{Seq: 7}
@@ -118,12 +117,12 @@
 	}
 }
 
-// Twenty thousand waiting jobs are cancelled one after the other. Operators
-// would see placement stall if each cancellation searched the queue or left a
-// timer behind; the work that stays must still start.
-func TestCancellationWave(t *testing.T) {
+// 20,000 waiting jobs are cancelled one by one. Placement would stall if each
+// cancellation searched the queue or leaked a timer. The one job that is not
+// cancelled must still start.
+func TestMassCancellationLeaksNoTimers(t *testing.T) {
 	const jobs = 20_000
-	w := zone(t, 1, Options{})
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	var ids []ident.JobID
 	for range jobs {
@@ -138,7 +137,7 @@
 		}
 	}
 	if w.s.Waiting() != 1 || len(w.s.timers.heap) > 16 {
-		t.Errorf("%d jobs wait, %d timers are kept", w.s.Waiting(), len(w.s.timers.heap))
+		t.Errorf("%d jobs wait and %d timers are left, want 1 and at most 16", w.s.Waiting(), len(w.s.timers.heap))
 	}
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(stays)) != 1 {
@@ -146,10 +145,10 @@
 	}
 }
 
-// A running job is cancelled: its tasks are stopped, and the caller is not
-// told that it did not run.
-func TestCancelledWhileRunning(t *testing.T) {
-	w := zone(t, 1, Options{})
+// A running job is cancelled. Its tasks are stopped, and its outcome is unknown,
+// not "not run".
+func TestCancelledRunningJobEndsAsUnknown(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	job := w.accept(batch("a", 4, 3))
 	w.step(JobCancelled{Job: job})
 	for len(w.running) > 0 {
@@ -163,11 +162,11 @@
 	}
 }
 
-// A new scheduler takes over while one task runs, one was done, one was lost
-// and one never started. A caller would see a task run twice if the running
-// one were started again, and lose one if the others were forgotten.
-func TestTakeover(t *testing.T) {
-	w := zone(t, 2, Options{})
+// A new scheduler takes over while one task is running, one is done, one was
+// lost and one never started. The running and the finished task must not be
+// started again, and the other two must be.
+func TestTakeoverStartsNoTaskTwice(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	spec := batch("a", 1, 4)
 	job := ident.JobID{Zone: "a", Host: "old", Incarnation: 9, Seq: 1}
 	w.jobs[job] = spec
@@ -182,7 +181,7 @@
 		{Index: 2, Attempts: 1},
 	}})
 	if got := len(w.runningOf(job)); got != 3 {
-		t.Fatalf("%d tasks run, want the adopted one, the lost one and the new one", got)
+		t.Fatalf("%d tasks run, want 3: the running one, the lost one and the one that never started", got)
 	}
 	for len(w.running) > 0 {
 		w.end(0, AttemptEnded{})
@@ -192,10 +191,10 @@
 	}
 }
 
-// An approval was assigned by a predecessor and nothing is known of it since:
-// it may have run, so it ends as unknown and is not started again.
-func TestTakeoverOfAnApproval(t *testing.T) {
-	w := zone(t, 1, Options{})
+// A non-idempotent task was assigned by the earlier leader and its result is not
+// known. It may have run, so its outcome is unknown and it is not started again.
+func TestTakeoverDoesNotRestartNonIdempotentWork(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 1, 1)
 	spec.NonIdempotent = true
 	job := ident.JobID{Zone: "a", Host: "old", Incarnation: 9, Seq: 1}
@@ -205,10 +204,10 @@
 	}
 }
 
-// Work that can never run is refused with what it lacks; work that cannot start
-// in time is refused with the time after which a repeat makes sense.
-func TestAdmission(t *testing.T) {
-	w := zone(t, 2, Options{})
+// A job that can never run is refused with the reason. A job that cannot start
+// before its deadline is refused with the delay after which to retry.
+func TestAdmitNamesTheReasonOfRefusal(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	w.step(TeamsChanged{Teams: []Team{{ID: "a", Weight: 1}, {ID: "small", Weight: 1, Limit: 4}}})
 	for range 40 {
 		pressing := batch("a", 8, 1)
@@ -243,10 +242,10 @@
 	}
 }
 
-// A report of an earlier attempt comes late, after the task was started again.
-// Taking it for the new attempt would free room that is still in use.
-func TestLateReportOfAnEarlierAttempt(t *testing.T) {
-	w := zone(t, 1, Options{BackoffMin: time.Second})
+// The end of an earlier attempt is reported again after the retry has started.
+// If it were applied to the new attempt, capacity still in use would be freed.
+func TestLateReportOfEarlierAttemptIsIgnored(t *testing.T) {
+	w := newZone(t, 1, Options{BackoffMin: time.Second})
 	w.accept(batch("a", 8, 1))
 	first := w.end(0, AttemptEnded{Failed: true})
 	w.pass(time.Second)
@@ -256,36 +255,36 @@
 	}
 }
 
-// One task of an all-at-once job fails. The others are worth nothing alone:
-// they are stopped, and all start again together.
-func TestGangStartsAgainAsAWhole(t *testing.T) {
-	w := zone(t, 2, Options{BackoffMin: time.Second})
+// One task of a gang fails. The others cannot complete without it: they are
+// stopped, and all tasks start again together.
+func TestFailedGangRestartsAsAWhole(t *testing.T) {
+	w := newZone(t, 2, Options{BackoffMin: time.Second})
 	job := w.accept(gang("a", 4, 4))
 	w.end(0, AttemptEnded{Failed: true})
 	for len(w.running) > 0 {
 		if w.controls[w.running[0].ID] != ports.ControlStop {
-			t.Fatalf("%s runs on", w.running[0].ID)
+			t.Fatalf("%s was not stopped after another task of its gang failed", w.running[0].ID)
 		}
 		w.end(0, AttemptEnded{Stopped: true})
 	}
 	w.pass(time.Second)
 	if got := len(w.runningOf(job)); got != 4 {
-		t.Errorf("%d tasks started again", got)
+		t.Errorf("%d tasks started again, want 4", got)
 	}
 }
 
-// The only worker refuses a start. Trying again at once would go on for ever.
-func TestRefusingWorkerIsLeftAlone(t *testing.T) {
+// The only worker refuses a start. Retrying without a backoff would loop forever.
+func TestRefusedStartIsNotRetriedWithoutBackoff(t *testing.T) {
 	for _, reason := range []ports.Refusal{"", ports.RefusedCapacity} {
-		w := zone(t, 1, Options{})
+		w := newZone(t, 1, Options{})
 		w.accept(batch("a", 1, 1))
 		w.step(StartRefused{ID: w.take(0).ID, Reason: reason})
 		if len(w.running) != 0 {
-			t.Errorf("refusal %q: started again at once", reason)
+			t.Errorf("refusal %q: started again without a backoff", reason)
 		}
 		w.pass(time.Second)
 		if len(w.running) != 1 {
-			t.Errorf("refusal %q: not started again", reason)
+			t.Errorf("refusal %q: not started again after the backoff", reason)
 		}
 	}
 }
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -7,13 +7,13 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// lookEvery is the time until the other classes of a team with too many
-// different needs are looked at, if nothing else happens.
-const lookEvery = 100 * time.Millisecond
+// rescanInterval is the delay before dispatch runs again after a scan that
+// skipped classes, because a team has too many of them, if no event comes first.
+const rescanInterval = 100 * time.Millisecond
 
-// dispatch starts waiting work in its order until nothing that waits can
-// start. Work that does not fit is passed over, so that no room stays free
-// that other work could use, except what a hold keeps.
+// dispatch starts waiting work in queue order until none can start. Work that
+// does not fit is skipped, so capacity that other work can use is not left
+// idle, except on held workers.
 func (s *Scheduler) dispatch() {
 	for {
 		s.startHeld()
@@ -22,33 +22,34 @@
 			break
 		}
 	}
-	s.makeRoom()
+	s.freeCapacity()
 }
 
-// makeRoom looks after work that could not start.
-func (s *Scheduler) makeRoom() {
+// freeCapacity frees or reserves capacity for work that could not start: it
+// displaces tasks, rebalances the shares and plans holds.
+func (s *Scheduler) freeCapacity() {
 	if s.opts.FirstFit {
 		return
 	}
 	if s.queue.Partial() {
-		s.wake(&s.wakes.look, s.now+lookEvery)
+		s.wake(&s.wakes.look, s.now+rescanInterval)
 	}
 	s.displace()
 	s.rebalance()
 	s.planHolds()
 }
 
-// startAlike starts jobs of the same class as a job until one cannot start.
-func (s *Scheduler) startAlike(j *job) {
+// startSameClass starts jobs of the same class as j until one cannot start.
+func (s *Scheduler) startSameClass(j *job) {
 	class := j.item.Class()
-	for class != nil && class.Len() > 0 && s.open(class) {
+	for class != nil && class.Len() > 0 && s.mayStart(class) {
 		s.start(class.Head().Owner)
 	}
 }
 
 func (s *Scheduler) startWaiting() {
 	for {
-		item := s.first()
+		item := s.nextStartable()
 		if item == nil {
 			return
 		}
@@ -56,24 +57,27 @@
 	}
 }
 
-func (s *Scheduler) first() *queue.Item[*job] {
+// nextStartable returns the next job in the queue whose class might start, or
+// nil.
+func (s *Scheduler) nextStartable() *queue.Item[*job] {
 	if s.opts.FirstFit {
 		return s.queue.Oldest(s.openFunc)
 	}
 	return s.queue.First(s.openFunc)
 }
 
-// open reports whether the head of a class might start: its team's units were
-// not refused, and room came free since it last failed to fit.
-func (s *Scheduler) open(class *queue.Class[*job]) bool {
+// mayStart reports whether the head of a class might start: the units of its
+// team are not refused, and capacity was freed since the class last failed to
+// fit.
+func (s *Scheduler) mayStart(class *queue.Class[*job]) bool {
 	if class.Mark != 0 && !s.mayFit(class) {
 		return false
 	}
 	return !s.blocked(class.Head().Owner.team, class.Shape.Units)
 }
 
-// mayFit reports whether room came free since a class was marked that could
-// take one of its tasks.
+// mayFit reports whether capacity that was freed since the class was marked may
+// fit one of its tasks.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
 	position := s.cell.Freed()
 	if class.Mark == position {
@@ -86,10 +90,11 @@
 	return false
 }
 
-// limited reports whether the upper limit of its team stops a job.
-func (s *Scheduler) limited(j *job) bool { return s.blocked(j.team, j.startUnits()) }
+// limitBlocks reports whether the upper limit of its team blocks a job.
+func (s *Scheduler) limitBlocks(j *job) bool { return s.blocked(j.team, j.startUnits()) }
 
-// startUnits returns the units that the job needs to start anything.
+// startUnits returns the limit units that the job needs to start: those of one
+// task, or of all tasks of a gang.
 func (j *job) startUnits() int64 {
 	if j.gang() {
 		return j.units * int64(j.spec.Tasks)
@@ -97,18 +102,19 @@
 	return j.units
 }
 
-// start starts one task of a job, or all of a gang. If there is no room it
-// marks the class of the job.
+// start starts one task of a job, or all tasks of a gang. If it does not fit,
+// start marks the class of the job with the current position in the log of
+// freed capacity.
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
-		if !s.placeGang(j) && !s.limited(j) {
+		if !s.placeGang(j) && !s.limitBlocks(j) {
 			j.item.Class().Mark = s.cell.Freed()
 		}
 		return
 	}
-	ref := s.look(j, j.peekLast())
+	ref := s.pickWorker(j, j.peekLast())
 	if ref == place.None {
-		ref = s.lookHeld(j)
+		ref = s.pickHeldWorker(j)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, j.need) {
 		j.item.Class().Mark = s.cell.Freed()
@@ -119,11 +125,12 @@
 		return
 	}
 	s.assign(j, ref)
-	s.started(j)
+	s.tasksAssigned(j)
 }
 
-// look returns a worker that takes one task of the job now, or place.None.
-func (s *Scheduler) look(j *job, avoid place.Ref) place.Ref {
+// pickWorker returns a worker on which a task of the job fits now, or
+// place.None. The worker avoid is the last choice.
+func (s *Scheduler) pickWorker(j *job, avoid place.Ref) place.Ref {
 	if s.opts.FirstFit {
 		return s.placer.FirstFit(j.need)
 	}
@@ -133,8 +140,8 @@
 	return s.placer.Pack(j.need, avoid)
 }
 
-// assign starts the next task of a job on a worker where its room and units
-// are taken.
+// assign starts the next task of a job on a worker. Its capacity and units are
+// already reserved.
 func (s *Scheduler) assign(j *job, ref place.Ref) {
 	index := j.take()
 	j.tasks[index].attempts++
@@ -152,16 +159,16 @@
 	})
 }
 
-// trial bars a worker that comes back from a quarantine until the task that
-// was just placed on it has ended.
+// trial bars a worker that returns from quarantine until the task that was just
+// assigned to it has ended.
 func (s *Scheduler) trial(ref place.Ref) {
 	if s.host(ref).onTrial() {
 		s.cell.Bar(ref, place.BarProbing)
 	}
 }
 
-// started updates the order of waiting after tasks of the job were assigned.
-func (s *Scheduler) started(j *job) {
+// tasksAssigned updates the queue after tasks of the job were assigned.
+func (s *Scheduler) tasksAssigned(j *job) {
 	s.predictionDue(j)
 	s.weigh(j)
 	j.team.Started(j.item.Class())
