--- a/sched/displace.go
+++ b/sched/displace.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	displaceMost  = 64                     // tasks of one class for which room is made at once
-	displaceEvery = 100 * time.Millisecond // shortest time between two looks that found nothing
+	maxDisplaceBatch = 64                     // tasks of one class for which capacity is freed at once
+	displaceEvery    = 100 * time.Millisecond // least delay before the next search after one that found no victim
 )
 
-// displaceable reports whether an attempt may be checkpointed for urgent work.
-// Work that is not idempotent never is, because it is never attempted twice.
+// displaceable reports whether an attempt may be checkpointed to free capacity
+// for other work. Non-idempotent work never may, because it is never attempted
+// twice.
 func (s *Scheduler) displaceable(a *attempt) bool {
 	if a.job == nil || a.stopping != "" || a.job.gang() {
 		return false
@@ -29,31 +30,32 @@
 	return a.displaced() < s.opts.MaxDisplaced
 }
 
-// displaced returns how often the task of an attempt was displaced.
+// displaced returns how many times the task of an attempt was displaced.
 func (a *attempt) displaced() int { return int(a.job.tasks[a.id.Index].displaced) }
 
-// emptying is a worker on which tasks are being checkpointed. Until those have
-// ended it is held for a replica of a service, for work of one team or, if
-// neither is set, for urgent work.
-type emptying struct {
+// displacement is a worker on which tasks are being checkpointed. Until they
+// have ended, the worker is held for a replica of a service, for work of one
+// team or, if neither is set, for urgent work.
+type displacement struct {
 	worker  place.Ref
-	until   timeOf // no longer than this
+	until   timeOf // latest end of the hold
 	team    *team
 	service *service
 }
 
-// emptyMost bounds how long a worker is held while tasks on it are being
-// checkpointed. A worker that cannot checkpoint would be idle for ever.
-const emptyMost = 30 * time.Second
+// maxDisplacementHold bounds how long a worker is held while tasks on it are
+// being checkpointed. Without the bound, a worker that cannot checkpoint would
+// be held forever.
+const maxDisplacementHold = 30 * time.Second
 
-// filter chooses among the attempts that may be displaced. A nil filter takes
-// all.
-type filter func(*attempt) bool
+// victimFilter selects among the displaceable attempts. A nil victimFilter
+// selects all.
+type victimFilter func(*attempt) bool
 
-// displace makes room for work that does not fit, by checkpointing
-// displaceable tasks: those of any team for urgent work, and those of the same
-// team for work whose deadline comes near. The second leaves every share as it
-// is, so it needs no bound on the share.
+// displace frees capacity for work that does not fit by checkpointing
+// displaceable tasks: tasks of any team for urgent work, and tasks of the same
+// team for work near its deadline. The second does not change the share of any
+// team, so it needs no bound on the share.
 func (s *Scheduler) displace() {
 	if s.now < s.displaceAt {
 		return
@@ -74,69 +76,72 @@
 	}
 }
 
-// nearPart is the part of its wait that is left when a deadline is near.
-const nearPart = 2
+// nearDeadlineDivisor defines when a deadline is near: when half of the time
+// between acceptance and deadline is over.
+const nearDeadlineDivisor = 2
 
-// nearDeadline reports whether half of the time until the deadline of the head
-// of a class has passed.
+// nearDeadline reports whether the head of a class, which has failed to fit, is
+// near its deadline. Urgent work and gangs are left out.
 func (s *Scheduler) nearDeadline(class *queue.Class[*job]) bool {
 	if class.Shape.Urgent || class.Mark == 0 {
 		return false
 	}
 	j := class.Head().Owner
-	return j.spec.Deadline > 0 && !j.gang() && s.now >= j.accepted+j.spec.Deadline/nearPart
+	return j.spec.Deadline > 0 && !j.gang() && s.now >= j.accepted+j.spec.Deadline/nearDeadlineDivisor
 }
 
-// displaceFor makes room for the waiting tasks of a class, where it may be used
-// by one team or, if that is nil, by urgent work.
-func (s *Scheduler) displaceFor(class *queue.Class[*job], use *team, from filter) {
+// displaceFor frees capacity for the waiting tasks of a class by displacing the
+// eligible attempts. The workers are held for the team heldFor or, if that is
+// nil, for urgent work; for a gang they are held for the job itself.
+func (s *Scheduler) displaceFor(class *queue.Class[*job], heldFor *team, eligible victimFilter) {
 	j := class.Head().Owner
-	if s.limited(j) || j.hold != nil {
+	if s.limitBlocks(j) || j.hold != nil {
 		return
 	}
-	wanted := int64(min(class.Len(), displaceMost))
+	wanted := int64(min(class.Len(), maxDisplaceBatch))
 	if j.gang() {
 		wanted = int64(j.spec.Tasks)
 	} else if class.Len() == 1 {
-		wanted = int64(min(j.waiting(), displaceMost))
+		wanted = int64(min(j.waiting(), maxDisplaceBatch))
 	}
 	if !j.gang() {
-		wanted -= s.comingRoom(j, wanted)
+		wanted -= s.fitsOnceStopped(j, wanted)
 	}
 	if wanted <= 0 {
 		return
 	}
-	workers, found := s.victims(j.need, from, wanted)
+	workers, found := s.victims(j.need, eligible, wanted)
 	if found == 0 || (j.gang() && found < wanted) {
 		s.displaceAt = s.now + displaceEvery
 		s.wake(&s.wakes.displace, s.displaceAt)
 		return
 	}
 	for _, ref := range workers {
-		s.checkpoint(ref, j.need, from)
+		s.checkpoint(ref, j.need, eligible)
 	}
 	if j.gang() {
 		at := s.now + stopTime
 		s.hold(&hold{job: j, workers: workers, at: at, first: at, urgent: true})
 		return
 	}
-	s.empty(workers, emptying{team: use})
+	s.holdDisplacing(workers, displacement{team: heldFor})
 }
 
-// empty holds workers on which tasks are being checkpointed.
-func (s *Scheduler) empty(workers []place.Ref, use emptying) {
-	use.until = s.now + emptyMost
-	s.after(timer{at: use.until, kind: timerWake})
-	s.after(timer{at: s.now + comingFor, kind: timerWake})
+// holdDisplacing holds workers on which tasks are being checkpointed, for the
+// work that entry names.
+func (s *Scheduler) holdDisplacing(workers []place.Ref, entry displacement) {
+	entry.until = s.now + maxDisplacementHold
+	s.after(timer{at: entry.until, kind: timerWake})
+	s.after(timer{at: s.now + stopGrace, kind: timerWake})
 	for _, ref := range workers {
 		s.cell.Bar(ref, place.BarHeld)
-		use.worker = ref
-		s.making = append(s.making, use)
+		entry.worker = ref
+		s.making = append(s.making, entry)
 	}
 }
 
-// mayUse reports whether a worker is being emptied for work like the job.
-func (e emptying) mayUse(j *job) bool {
+// mayUse reports whether the worker is held for work such as the job.
+func (e displacement) mayUse(j *job) bool {
 	switch {
 	case e.service != nil:
 		return false
@@ -147,41 +152,41 @@
 	}
 }
 
-// comingFor is how long after its checkpoint was sent the room of a task is
-// counted on.
-const comingFor = time.Second
+// stopGrace is how long the capacity of a task counts as about to be freed after
+// its first control was sent.
+const stopGrace = time.Second
 
-// comingRoom returns how many tasks of the job fit on the workers where room is
-// being made for it, once it is.
+// fitsOnceStopped returns how many tasks of the job will fit on the workers that
+// are held for it, once the tasks that are being stopped have ended.
 //
-// It guards against a task that does not stop: urgent work would wait for its
-// room, for as long as the worker is held, while other tasks could be displaced.
-// Room that has not come in a second is counted on no more.
-func (s *Scheduler) comingRoom(j *job, most int64) int64 {
-	coming := int64(0)
+// A task that does not stop within stopGrace (1 s) no longer counts. Otherwise
+// urgent work would wait for its capacity for as long as the worker is held,
+// although other tasks could be displaced.
+func (s *Scheduler) fitsOnceStopped(j *job, most int64) int64 {
+	fits := int64(0)
 	for _, e := range s.making {
 		if !e.mayUse(j) {
 			continue
 		}
 		room := s.cell.Worker(e.worker).Free
 		for _, a := range s.host(e.worker).attempts {
-			if a.stopping != "" && s.now < a.stopAt+comingFor {
+			if a.stopping != "" && s.now < a.stopAt+stopGrace {
 				room = room.Add(a.need)
 			}
 		}
-		coming += place.Count(j.need, room, most)
+		fits += place.Count(j.need, room, most)
 	}
-	return coming
+	return fits
 }
 
-// victims returns the workers on which the least has to be displaced for the
-// wanted number of tasks, and for how many of them there is enough.
-func (s *Scheduler) victims(need resource.Vector, from filter, wanted int64) ([]place.Ref, int64) {
+// victims returns the workers on which the least capacity must be displaced to
+// fit the wanted number of tasks, and how many tasks will fit on them.
+func (s *Scheduler) victims(need resource.Vector, eligible victimFilter, wanted int64) ([]place.Ref, int64) {
 	var workers []place.Ref
 	for i := range s.hosts {
 		ref := place.Ref(i)
 		w := s.cell.Worker(ref)
-		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, from))) {
+		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, eligible))) {
 			workers = append(workers, ref)
 		}
 	}
@@ -202,27 +207,29 @@
 	return workers, found
 }
 
-// displaceableOn returns how much could be displaced on a worker.
-func (s *Scheduler) displaceableOn(ref place.Ref, from filter) resource.Vector {
+// displaceableOn returns the sum of the needs of the eligible displaceable
+// attempts on a worker.
+func (s *Scheduler) displaceableOn(ref place.Ref, eligible victimFilter) resource.Vector {
 	h := s.host(ref)
-	if from == nil || h.displaceable.IsZero() {
+	if eligible == nil || h.displaceable.IsZero() {
 		return h.displaceable
 	}
 	var sum resource.Vector
 	for _, a := range h.attempts {
-		if s.displaceable(a) && from(a) {
+		if s.displaceable(a) && eligible(a) {
 			sum = sum.Add(a.need)
 		}
 	}
 	return sum
 }
 
-// checkpoint displaces tasks on a worker until one task of the need fits:
-// those first that were displaced least and have run least.
-func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, from filter) {
+// checkpoint displaces eligible tasks on a worker until one task of the need
+// fits. Tasks that were displaced the fewest times come first, then those that
+// have run the shortest time.
+func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, eligible victimFilter) {
 	var victims []*attempt
 	for _, a := range s.host(ref).attempts {
-		if s.displaceable(a) && (from == nil || from(a)) {
+		if s.displaceable(a) && (eligible == nil || eligible(a)) {
 			victims = append(victims, a)
 		}
 	}
@@ -238,28 +245,27 @@
 			return
 		}
 		if helps(need, room, a.need) {
-			a.yields = from == nil
+			a.requeueLast = eligible == nil
 			s.stop(a, ports.ControlCheckpoint)
 			room = room.Add(a.need)
 		}
 	}
 }
 
-// helps reports whether a victim frees any resource that is short.
+// helps reports whether a victim frees any of the resources that the need lacks.
 func helps(need, room, victim resource.Vector) bool {
 	return (need.MilliCPU > room.MilliCPU && victim.MilliCPU > 0) ||
 		(need.MemoryMiB > room.MemoryMiB && victim.MemoryMiB > 0) ||
 		(need.Accelerators > room.Accelerators && victim.Accelerators > 0)
 }
 
-// endDisplacements gives workers back to all work once every displaced task
-// on them has ended, or took too long, and the work that they were held for had
-// its turn. It reports whether it gave
-// any back.
+// endDisplacements releases the held workers on which every displaced task has
+// ended, or was not stopped in time. Dispatch has offered them before to the
+// work that they were held for. It reports whether any worker was released.
 func (s *Scheduler) endDisplacements() bool {
 	before := len(s.making)
-	s.making = slices.DeleteFunc(s.making, func(e emptying) bool {
-		if s.now < e.until && s.stopsSome(e.worker) {
+	s.making = slices.DeleteFunc(s.making, func(e displacement) bool {
+		if s.now < e.until && s.hasStopping(e.worker) {
 			return false
 		}
 		s.cell.Unbar(e.worker, place.BarHeld)
@@ -268,7 +274,7 @@
 	return len(s.making) < before
 }
 
-// stopsSome reports whether attempts on a worker are being stopped.
-func (s *Scheduler) stopsSome(ref place.Ref) bool {
+// hasStopping reports whether any attempt on a worker is being stopped.
+func (s *Scheduler) hasStopping(ref place.Ref) bool {
 	return slices.ContainsFunc(s.host(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
 }
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -5,26 +5,26 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// placeGang reserves room for all tasks of a gang, or for none, and assigns
-// them. One scheduler decides for the whole zone in one step, so two gangs
-// never hold parts of what the other needs.
+// placeGang reserves capacity for all tasks of a gang, or for none, and assigns
+// them. One scheduler places the whole gang in one step, so two gangs cannot
+// deadlock by each holding capacity that the other needs.
 func (s *Scheduler) placeGang(j *job) bool {
 	refs := s.reserveGang(j)
 	if refs == nil {
 		return false
 	}
 	if !s.tryUse(j.team, j.units*int64(j.spec.Tasks), j.item.Due) {
-		s.undo(refs, j)
+		s.undoReservations(refs, j)
 		return false
 	}
 	for _, ref := range refs {
 		s.assign(j, ref)
 	}
-	s.started(j)
+	s.tasksAssigned(j)
 	return true
 }
 
-// reserveGang returns a worker for each task of the gang, with the room
+// reserveGang returns a worker for each task of the gang, with the capacity
 // reserved, or nil. The slice is valid until the next call.
 func (s *Scheduler) reserveGang(j *job) []place.Ref {
 	n := j.spec.Tasks
@@ -33,13 +33,13 @@
 		refs = s.reserveHeld(j, refs)
 	}
 	if !s.opts.FirstFit && place.Count(j.need, s.cell.Open(), int64(n)) < int64(n-len(refs)) {
-		s.undo(refs, j)
+		s.undoReservations(refs, j)
 		return nil
 	}
 	for len(refs) < n {
-		ref := s.look(j, place.None)
+		ref := s.pickWorker(j, place.None)
 		if ref == place.None || !s.cell.Reserve(ref, j.need) {
-			s.undo(refs, j)
+			s.undoReservations(refs, j)
 			return nil
 		}
 		refs = append(refs, ref)
@@ -48,7 +48,8 @@
 	return refs
 }
 
-// reserveHeld reserves as much as fits on the workers held for the job.
+// reserveHeld reserves capacity for as many tasks as fit on the workers held for
+// the job and appends their workers to refs.
 func (s *Scheduler) reserveHeld(j *job, refs []place.Ref) []place.Ref {
 	for _, ref := range j.hold.workers {
 		if s.cell.Worker(ref).Bars&^place.BarHeld != 0 {
@@ -61,17 +62,16 @@
 	return refs
 }
 
-// undo gives back reservations that no attempt uses.
-func (s *Scheduler) undo(refs []place.Ref, j *job) {
+// undoReservations cancels reservations that no attempt uses.
+func (s *Scheduler) undoReservations(refs []place.Ref, j *job) {
 	for _, ref := range refs {
 		s.cell.Undo(ref, j.need)
 	}
 	s.gangRefs = refs[:0]
 }
 
-// concludeGang counts the end of one attempt of a gang. A gang is worth
-// nothing without all its tasks, so one that fails stops the others, and the
-// whole gang is tried again.
+// concludeGang handles the end of one attempt of a gang. A gang needs all its
+// tasks, so a failed attempt stops the others, and the whole gang is retried.
 func (s *Scheduler) concludeGang(a *attempt, e ending) {
 	j := a.job
 	if !e.failed && !e.stopped && !e.lost && !e.refused {
@@ -88,31 +88,31 @@
 	j.broken = true
 	j.faulty = !e.refused
 	if j.faulty {
-		j.reason = e.words()
+		j.reason = e.reasonText()
 	}
 	s.stopAttempts(j)
 }
 
-// endRound follows when every attempt of a broken gang has ended: the gang
-// waits for another round, or is given up.
+// endRound retries a broken gang after a backoff, or closes it. It is called
+// when all its attempts have ended.
 func (s *Scheduler) endRound(j *job) {
 	if j.faulty {
 		j.failures++
 	}
-	again := j.failures < s.maxAttempts(j)
+	retry := j.failures < s.maxAttempts(j)
 	if j.spec.NonIdempotent && j.begun > 0 {
-		again = false
+		retry = false
 	}
-	if !again {
+	if !retry {
 		j.closed = true
 		return
 	}
 	j.broken, j.faulty, j.uncertain = false, false, false
 	j.done = 0
-	s.tryLater(j, 0, doubled(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
+	s.requeueAfter(j, 0, exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, j.failures-1))
 }
 
-// readyGang makes all tasks of a gang wait for their next attempt.
+// readyGang queues all tasks of a gang for their next attempt.
 func (s *Scheduler) readyGang(j *job) {
 	j.ready = j.ready[:0]
 	for i := range j.tasks {
@@ -121,8 +121,9 @@
 	}
 }
 
-// restoreGang checks a gang after a takeover. One of which only a part was
-// assigned, or a part has failed, cannot go on.
+// restoreGang checks a gang after a takeover of leadership. If some of its tasks
+// are neither running nor done, the gang cannot complete: the running ones are
+// stopped and the gang is marked as broken.
 func (s *Scheduler) restoreGang(j *job) {
 	if j.open+j.done == j.spec.Tasks {
 		return
