--- a/host/contact.go
+++ b/host/contact.go
@@ -44,7 +44,7 @@
 // syncKeepAlives disables keep-alives on the callers' server while this host is
 // not ready and enables them again afterwards.
 //
-// It guards against callers that stay connected to a host in a zone that is cut off:
+// It guards against callers that stay connected to a host in a zone behind a network partition:
 // the balancer picks another host only for a new connection, so requests on an open
 // one are refused until the partition heals. A server without keep-alives closes
 // idle connections at once and busy ones after their response.
--- a/host/election.go
+++ b/host/election.go
@@ -39,9 +39,9 @@
 	// takes longer is not replaced while its entries in the log grow.
 	pingTimeout = 200 * time.Millisecond
 	// baseElectionTimeout is how long the log must show no new entry of the leader
-	// before another host takes over; package leader adds the time that the log takes
-	// to answer. A leader appends every 100 ms, and a process that gets no CPU time may
-	// pause for most of this time.
+	// before another host takes over; package leader adds a multiple of the log's
+	// latency. A leader appends every 100 ms, but its process may get no CPU time for
+	// most of this timeout.
 	baseElectionTimeout = 350 * time.Millisecond
 	// leaderLogTimeout is how long a leader may get no answer from the log before it asks
 	// other hosts to take over, and before they check the log themselves. It is longer
@@ -183,7 +183,7 @@
 	e.caughtUp = e.nextOffset >= end
 }
 
-// run pings the leader and claims the leadership when the leader is gone. A new
+// run pings the leader and claims the leadership when the leader has failed. A new
 // leader is pinged as soon as its claim is read: until it knows other hosts it makes
 // all advice calls itself, which delays the backlog from the time without a leader.
 func (e *election) run(ctx context.Context) {
@@ -204,7 +204,7 @@
 }
 
 // checkLeadership runs one round: a leader checks whether to hand over, any other host
-// whether the leader is gone.
+// whether there is a leader.
 func (e *election) checkLeadership(ctx context.Context) {
 	if e.host.stopping.Load() {
 		return
@@ -285,8 +285,9 @@
 	return time.Duration(shortfall*float64(smallHostClaimDelay)) + time.Duration(rand.Int64N(int64(claimJitter)))
 }
 
-// noLeader reports whether there is no leader, by the claims, a ping, and in doubt
-// the leader's entries in the log. It reports false until the claims have been read.
+// noLeader reports whether there is no leader, by the claims, a ping and, if the ping
+// is inconclusive, the leader's entries in the log. It reports false until the claims
+// have been read.
 func (e *election) noLeader(ctx context.Context) bool {
 	e.mu.Lock()
 	claim, ok := e.claim, e.caughtUp
@@ -381,12 +382,11 @@
 	return pingLeading
 }
 
-// claimLeadership claims the leadership after the leader with the given fencing token,
-// and reports whether this host leads. The append is conditional on no other claim
-// since, so of several hosts that detect the loss at the same time only one succeeds.
-// A host that reads a new claim while it still checks the old leader must not claim
-// after the new one: each such claim would force another change of leader, host after
-// host.
+// claimLeadership claims the leadership from the leader with the given fencing token,
+// and reports whether this host leads. The append fails if there is a later claim, so of
+// several hosts that detect the loss at the same time only one succeeds. A host that
+// reads a new claim while it still checks the old leader must not replace the new one:
+// each such claim would force another change of leader, host after host.
 func (e *election) claimLeadership(ctx context.Context, fence int64) bool {
 	e.mu.Lock()
 	at, newest := e.nextOffset, e.fence
@@ -401,8 +401,9 @@
 	}
 	got, err := e.host.client.Append(ctx, claimTimeout, platform.Append{Topic: topicClaims, Records: [][]byte{data}, ExpectedEnd: at})
 	if err != nil {
-		// Without an answer the claim may be in the log. watchClaims reads it then, and
-		// because it names this host, which does not lead, leaderGone makes it claim again.
+		// Without an answer the claim may be in the log. watchClaims then reads it. It
+		// names this host, which does not lead, so noLeader reports true and this host
+		// claims again.
 		e.host.log.WithError(err).WithField("after_fence", fence).Info("lead not claimed")
 		if platform.IsEndMismatch(err) {
 			e.readClaims(ctx)
@@ -414,8 +415,8 @@
 	return true
 }
 
-// readClaims reads the claims at once, because watchClaims may be waiting for an answer
-// that is lost.
+// readClaims reads the claims without a wait, because watchClaims may be waiting for an
+// answer that is lost.
 func (e *election) readClaims(ctx context.Context) {
 	e.mu.Lock()
 	from := e.nextOffset
--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -69,7 +69,7 @@
 }
 
 // Ping responses must rotate through all addresses. A host needs the address of some
-// other host when the leader is gone.
+// other host when the leader has failed.
 func TestPingResponsesRotateAddresses(t *testing.T) {
 	h := manyHelpers(50)
 	sent := make(map[string]bool)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Takeovers repeat if each new leader is considered gone before its first entries are
+// Takeovers repeat if each new leader counts as failed before its first entries are
 // read. The election timeout grows with recent takeovers and shrinks again later.
 func TestElectionTimeoutGrowsWithRecentTakeovers(t *testing.T) {
 	e := newElection(New(platform.Settings{}, telemetry.Discard()))
--- a/host/host.go
+++ b/host/host.go
@@ -109,7 +109,7 @@
 	return capacity{milliCPU: h.settings.MilliCPU, linkBps: h.settings.LinkBps, memoryMiB: h.settings.MemoryMB}
 }
 
-// Run serves until ctx ends or another producer replaces the intake writer, then
+// Run serves until ctx ends or another producer replaces the intake writer, and then
 // stops gracefully. It returns a *ListenError if a port cannot be opened.
 func (h *Host) Run(ctx context.Context) error {
 	defer h.cancelRun()
@@ -166,9 +166,9 @@
 	return boottime.Now()-time.Duration(h.stoppedAt.Load()) > h.settings.Grace-2*stopMargin
 }
 
-// Ready reports whether this host can serve callers: it is not stopping or
-// isolated, its configuration is confirmed, and submissions reach the log from
-// here or through a peer.
+// Ready reports whether this host can serve callers: it is neither stopping nor
+// isolated, its configuration is confirmed, and submissions reach the log directly
+// or through a peer.
 func (h *Host) Ready() bool {
 	return !h.stopping.Load() && h.config.Config() != nil &&
 		h.config.ConfirmationAge() < h.settings.KeyRevocation-revocationMargin && !h.isolated() &&
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -56,12 +56,12 @@
 	maxReadTimeout = 6 * time.Second
 	// maxReadKB and minReadKB bound the size of one read of the log while loading, in KiB, and
 	// readTransferTime is how long its response may occupy the link: six partitions are read
-	// concurrently, and the responses to heartbeats and pings queue behind them.
+	// concurrently, and the responses to probes and pings queue behind them.
 	maxReadKB        = 1024
 	minReadKB        = 16
 	readTransferTime = 30 * time.Millisecond
 	// heartbeatInterval is the pause between the heartbeats of a leader that is still loading.
-	// Other hosts take a leader without new entries for failed, however long loading takes.
+	// Other hosts count a leader without new entries as failed, however long loading takes.
 	heartbeatInterval = 100 * time.Millisecond
 	// firstFenceTimeout bounds the first attempt to fence off a partition; the timeout doubles
 	// with each further attempt, up to readTimeout.
@@ -75,8 +75,8 @@
 	workerListInterval = 250 * time.Millisecond
 	// intakeReadDelay is the pause after a read of the intake that returned records, so that
 	// several records share a read. It delays no submission, because the host that appended a
-	// record has passed it on already (HandleIntake). Without the pause, reads cost the store some 50
-	// calls a second.
+	// record passes it on directly (HandleIntake). Without the pause, reads cost the store
+	// some 50 calls a second.
 	intakeReadDelay = 150 * time.Millisecond
 	// maxIntakeAge is the maximum age of the newest read of the intake at which State reports
 	// with certainty that a job is unknown.
@@ -156,10 +156,10 @@
 // Loaded reports whether the records of earlier leaders have been replayed.
 func (l *Leader) Loaded() bool { return l.loaded.Load() }
 
-// HandleIntake passes an intake record that another host has appended to the scheduler, ahead of the
-// read that returns it as well; the scheduler ignores the second copy. This spares submissions
-// the read, which takes as long as an append where the log is slow, and a second or more where
-// the log does not wake waiting reads.
+// HandleIntake passes the scheduler a record that a host has appended to the intake, before a
+// read of the log returns it; the scheduler ignores the second copy. A submission need not wait
+// for the read, which takes as long as an append where the log is slow, and a second or more
+// where the log does not wake waiting reads.
 func (l *Leader) HandleIntake(ctx context.Context, r *record.Intake) {
 	if l.loaded.Load() {
 		l.push(ctx, region.IntakeRead{Records: []*record.Intake{r}})
@@ -177,8 +177,8 @@
 	l.cancel(&LeadershipLostError{Why: "fencing token " + strconv.FormatInt(fence, 10) + " has been claimed"})
 }
 
-// LogRefusedFor returns for how long the log has answered this leader's appends with refusals
-// only; 0 while the leader loads.
+// LogRefusedFor returns for how long the log has refused every append of this leader; 0 while
+// the leader loads.
 func (l *Leader) LogRefusedFor() time.Duration {
 	if !l.loaded.Load() {
 		return 0
@@ -199,9 +199,9 @@
 const loadGracePeriod = 2500 * time.Millisecond
 
 // LogContactAge returns for how long the log has not acked an append, less a multiple of its
-// latency; while the leader loads, less the grace period for loading, and negative within it.
-// Replacing a leader because the log is slow for all hosts would leave the region without one
-// for as long as the new leader needs to load from the same log.
+// latency, and at least 0. While the leader loads, loadGracePeriod is subtracted instead, and
+// the result may be negative. Replacing a leader because the log is slow for all hosts would
+// leave the region without one for as long as the new leader needs to load from the same log.
 func (l *Leader) LogContactAge() time.Duration { return l.contactAge(boottime.Now()) }
 
 func (l *Leader) contactAge(now time.Duration) time.Duration {
@@ -213,7 +213,7 @@
 }
 
 // Run fences off earlier leaders, replays the log and runs the scheduler, until parent ends
-// or another host takes over. It returns the cause.
+// or another host takes over. It returns the cause of the end.
 func (l *Leader) Run(parent context.Context) error {
 	ctx, cancel := l.ctx, l.cancel
 	defer cancel(nil)
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -95,7 +95,7 @@
 }
 
 // Over a narrow link or from a slow log, a leader needs seconds to load. The other hosts saw no
-// new entries, took it for failed and claimed the leadership one after the other, and each had
+// new entries, counted it as failed and claimed the leadership one after the other, and each had
 // to load again: there was no leader for half a minute. A loading leader appends heartbeats.
 func TestLoadingLeaderAppendsHeartbeats(t *testing.T) {
 	store := fakeplatform.NewStore()
--- a/leader/read.go
+++ b/leader/read.go
@@ -168,8 +168,8 @@
 // that the leader is alive may be queued behind another.
 const slowLogFactor = 2
 
-// NoNewEntries reports whether no entries are appended for the time wait, and longer where the log
-// is slow; it is false if the log cannot be read. Every partition is read, as a leader may
+// NoNewEntries reports whether no entries are appended for the time wait, and longer where the
+// log is slow; it is false if the log cannot be read. Every partition is read, as a leader may
 // write to any.
 func (w *Watcher) NoNewEntries(ctx context.Context, wait time.Duration) bool {
 	began := boottime.Now()
--- a/logwriter/hedge.go
+++ b/logwriter/hedge.go
@@ -12,8 +12,8 @@
 	// a response is sent again, beside the first. The latency of a healthy store varies by less
 	// than this factor.
 	hedgeFactor = 3
-	// minHedgeDelay is the minimum of that delay, so that a pause of this process is not taken
-	// for a lost response.
+	// minHedgeDelay is the minimum of that delay, so that a pause of this process does not
+	// count as a lost response.
 	minHedgeDelay = 40 * time.Millisecond
 	// maxSends bounds how many times a call is sent in one try. The delay doubles each time, so
 	// that a slow store gets little extra load.
--- a/logwriter/logwriter_test.go
+++ b/logwriter/logwriter_test.go
@@ -122,7 +122,7 @@
 func TestFencedWriterStops(t *testing.T) {
 	f := &scriptedStore{script: []error{errBusy, errFenced}, executed: []bool{false, false}}
 	w := New(f, Target{Parts: 1, Producer: "p", Epoch: 1, FirstSeq: 1, CallBytes: 100})
-	w.Write([]byte("a"), func(Ack) { t.Error("kept") })
+	w.Write([]byte("a"), func(Ack) { t.Error("acked") })
 	err := w.Run(context.Background())
 	if _, replaced := err.(*ReplacedError); !replaced {
 		t.Errorf("ended with %v", err)
@@ -210,7 +210,7 @@
 func TestUnresponsiveStoreIsUnhealthyBeforeTimeout(t *testing.T) {
 	f := &lossyStore{lostAnswers: 100, sent: make(map[int64]int)}
 	runWithFakeClock(t, f, func(t *testing.T, w *Writer) {
-		w.Write([]byte("a"), func(Ack) { t.Error("kept") })
+		w.Write([]byte("a"), func(Ack) { t.Error("acked") })
 		time.Sleep(unresponsiveAfter - time.Millisecond)
 		synctest.Wait()
 		if !w.Healthy() {
--- a/model/model.go
+++ b/model/model.go
@@ -180,8 +180,8 @@
 	Fence  int64
 }
 
-// ProbeRequest is the heartbeat request to a worker: it renews the leases of all its
-// runs, acks the ends up to AckedUpTo, and asks for the remaining runs and ends.
+// ProbeRequest renews the leases of all runs of a worker, acks the ends up to AckedUpTo,
+// and asks for the remaining runs and ends.
 type ProbeRequest struct {
 	Worker    WorkerRef
 	UntilMs   int64 // new end of the leases on the worker's clock, in milliseconds; 0 renews none
@@ -216,7 +216,7 @@
 	Checkpoint   string
 }
 
-// ProbeResponse is a worker's response to a HoldRequest.
+// ProbeResponse is a worker's response to a ProbeRequest.
 type ProbeResponse struct {
 	ClockMs  int64
 	BornUnix int64
--- a/region/advice.go
+++ b/region/advice.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// canRequestAdvice reports whether a call about the step could be sent now, and notes
+// canRequestAdvice reports whether a call about the step could be sent now, and records
 // what blocks it. It checks the longest possible call, which is accepted wherever a
 // shorter one is. With all hosts busy, no list of workers is built.
 func (s *Scheduler) canRequestAdvice(st *step) bool {
--- a/region/advisers.go
+++ b/region/advisers.go
@@ -131,7 +131,7 @@
 	h.idleAt = now + h.remaining(0)
 }
 
-// unanswered notes that a call timed out. The service may not have begun it yet, so that it
+// unanswered records that a call timed out. The service may not have begun it yet, so that it
 // counts with its whole service time from now.
 func (a *advisers) unanswered(name string, step adviceStep, now time.Duration) {
 	h, at := a.findCall(name, step)
--- a/region/congested_test.go
+++ b/region/congested_test.go
@@ -8,7 +8,7 @@
 // A task is done and its worker reports the end, but the answer waits in the leader's
 // own saturated link for longer than the lease. A leader that then counts the run as
 // lost starts the task again. It waits for the worker while its link is full, but at
-// most for maxExpiryDelay, since the worker may really be gone.
+// most for maxExpiryDelay, since the worker may really be lost.
 func TestRunIsNotLostWhileLinkIsFull(t *testing.T) {
 	lostAfter := func(load float64) time.Duration {
 		w := mixedWorld(t, 1)
--- a/region/event.go
+++ b/region/event.go
@@ -7,13 +7,13 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Event is an input of the scheduler.
+// Event is an input of the scheduler, passed to Scheduler.Handle.
 type Event interface{ isEvent() }
 
 // Command is an action that the scheduler requests from its driver.
 type Command interface{ isCommand() }
 
-// Events that Step accepts.
+// Events that Handle accepts.
 type (
 	// IntakeRead holds records of the intake, the topic that every host appends to, in
 	// log order.
@@ -43,7 +43,7 @@
 		SentAt time.Duration
 	}
 
-	// ProbeAnswered is the answer to a Hold that was sent at SentAt.
+	// ProbeAnswered is the answer to a Probe that was sent at SentAt.
 	ProbeAnswered struct {
 		Request  model.ProbeRequest
 		SentAt   time.Duration
@@ -74,7 +74,7 @@
 		NotSent bool // the call failed before it reached the service
 	}
 
-	// AdviceHostsChanged lists the hosts through which the advice service can be called.
+	// AdviceHostsChanged reports the new list of the hosts through which the advice service can be called.
 	AdviceHostsChanged struct{ Hosts []string }
 
 	// Tick advances time. UnixMs is the time of day. LoopLag is how late the driver
@@ -116,14 +116,14 @@
 	CallRefused                           // certainly not executed: the worker rejected it
 	CallFenced                            // the worker has seen a higher fencing token
 	CallOldRun                            // the run was stopped or has ended there before
-	CallLeaseExpired                      // the lease that the order grants has expired
+	CallLeaseExpired                      // the lease that the call grants has expired
 	CallNoRoom                            // the worker has no room for it
 	CallNoTicket                          // the ticket is not valid on the worker
 	CallOtherIncarnation                  // another incarnation of the worker answered
 	CallNoAnswer                          // may have been executed, or may be executed later
 )
 
-// Commands that Step returns. A command with a field After is executed after that delay.
+// Commands that Handle returns. A command with a field After is executed after that delay.
 type (
 	// Append writes entries to the log in order. Seq is the number of the last one.
 	Append struct {
@@ -141,8 +141,8 @@
 		Request model.StopRequest
 		After   time.Duration
 	}
-	// Probe is a probe of a worker: it renews its leases and reads which runs are
-	// alive or have ended.
+	// Probe renews the leases of a worker and reads which of its runs are running or
+	// have ended.
 	Probe struct {
 		Request model.ProbeRequest
 		After   time.Duration
@@ -168,8 +168,8 @@
 		Timed     bool // runs at set times and does not count as waiting
 	}
 
-	// StepDown reports that a worker has seen a higher fencing token: another host
-	// leads.
+	// StepDown ends the leadership, because Worker has seen a higher fencing token:
+	// another host leads.
 	StepDown struct{ Worker string }
 
 	// Explain is a log line that records a decision and its inputs.
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -101,8 +101,8 @@
 }
 
 // similarSpeedPlaces returns the places with room for all members whose workers differ
-// least in speed. A gang is as slow as its slowest member, and the room of faster
-// members is held idle meanwhile. Of sets that differ equally the fastest is chosen.
+// least in speed. A gang is as slow as its slowest member, and the resources of faster
+// members are idle meanwhile. Of sets that differ equally the fastest is chosen.
 func similarSpeedPlaces(places []gangPlace, members int) []gangPlace {
 	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.logRatio, a.worker.speed.logRatio) })
 	var (
@@ -179,7 +179,7 @@
 }
 
 // reserve keeps other batch work off the workers where a gang can have room soonest, as
-// many as it needs. Without it, small tasks take every hole that a wide gang needs, and
+// many as it needs. Without it, small tasks take all room that a wide gang needs, and
 // the gang starts only when the load falls. Workers already reserved for the gang come
 // first, since the room collected on a worker is lost when the gang moves to another.
 // The first gangs reserve firmly, against all but urgent small and long-running tasks;
@@ -228,7 +228,7 @@
 		!st.ruledOut(w) && st.demand().Fits(w.entry.Capacity)
 }
 
-// freedWithin returns the room of the runs on a worker that are expected to end within
+// freedWithin returns the resources of the runs on a worker that are expected to end within
 // a time.
 func (s *Scheduler) freedWithin(w *worker, within time.Duration) model.Resources {
 	var sum model.Resources
--- a/region/history_test.go
+++ b/region/history_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Guards against a start without an answer that is carried out seconds later by its worker's
+// Guards against a start without an answer that is executed seconds later by its worker's
 // next incarnation under the same ID: the task runs twice, or again after it was done.
 func TestLateOrderReachesNextLife(t *testing.T) {
 	for _, seed := range slices.Concat(lateOrderSeeds, lateOrderSeedsFar) {
--- a/region/incarnation_test.go
+++ b/region/incarnation_test.go
@@ -31,7 +31,7 @@
 //	worker has a new life  worker w1  runs_lost 1
 //	assigned               a          workers [w2]
 //
-// An incarnation that answers probes is not over, whatever the list says.
+// An incarnation that answers probes has not ended, whatever the list says.
 func TestStaleHostListEntryIsIgnored(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
@@ -44,7 +44,7 @@
 
 // Guards against the same with a leader elected after that write: it reads the first
 // incarnation in the host list, and in the log a run assigned to the second one. That run
-// counts as alive until a probe or the end of its lease shows that it is over.
+// counts as alive until a probe or the end of its lease shows that it has ended.
 func TestNewLeaderReadsStaleHostListEntry(t *testing.T) {
 	w := newWorld(t, 1)
 	earlier := lateEntry(w)
@@ -64,7 +64,7 @@
 
 // Guards against a worker that gets no more work after its time of day was set back, so that
 // its next incarnation has an earlier birth time. Probes find that the earlier incarnation
-// is over.
+// has ended.
 func TestIncarnationWithEarlierBirthTime(t *testing.T) {
 	w := newWorld(t, 1)
 	fw := w.addWorker("w1", 1)
@@ -83,7 +83,7 @@
 
 // Guards against a wait for a late start that cannot happen. A run is assigned in the old
 // incarnation of a worker, no end of it is read, and a new leader finds the worker in its
-// next incarnation. The run is over, and the task runs again at once: its start was answered,
+// next incarnation. The run has ended, and the task runs again at once: its start was answered,
 // so that no start call of it can be executed any more.
 func TestInheritedRunOfEarlierIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
--- a/region/late_start.go
+++ b/region/late_start.go
@@ -15,8 +15,8 @@
 // startCalls tracks the start calls of a run.
 type startCalls struct {
 	unanswered int           // calls in flight or timed out
-	executed   bool          // one of those was executed: the worker has listed the run
-	confirmed  bool          // another one was answered, so a listed run does not show that one of those was executed
+	executed   bool          // one of these was executed: the worker has listed the run
+	confirmed  bool          // another call was answered, so a listed run does not show that one of these was executed
 	expiresAt  time.Duration // when the newest call can no longer be executed
 	inherited  bool          // an earlier leader sent them, and their outcome is not recorded
 	recorded   bool          // the log has a record that all of them are settled
@@ -37,13 +37,13 @@
 	}
 }
 
-// runListed notes that the worker has listed the run.
+// runListed records that the worker has listed the run.
 func (c *startCalls) runListed() {
 	c.executed = !c.confirmed
 	c.inherited = false
 }
 
-// settle notes that no call can be executed any more.
+// settle records that no call can be executed any more.
 func (c *startCalls) settle() { c.unanswered, c.inherited = 0, false }
 
 // mayExecute reports whether a call may still be executed.
@@ -76,7 +76,7 @@
 
 // awaitLateStart defers the end of a run while a start call of it may still be executed. In
 // that time the task is not started again, and the run counts towards the workspace's cap.
-// The log message is "run in doubt".
+// Log messages call this state "in doubt".
 func (s *Scheduler) awaitLateStart(r *run, why string) {
 	if r.phase == phaseLateStart {
 		return
--- a/region/late_start_test.go
+++ b/region/late_start_test.go
@@ -97,7 +97,7 @@
 }
 
 // Guards against a wait for a late start that ends too soon: the next incarnation does not
-// answer, and any lease of it is over before the start can no longer be executed.
+// answer, and any lease of it has expired before the start can no longer be executed.
 func TestWaitForLateStartOutlastsNextLease(t *testing.T) {
 	w, fw := lateStartWorld(t, time.Hour, &record.Step{Count: 1})
 	sent := w.now
--- a/region/lease.go
+++ b/region/lease.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// shortLease is the lease of a worker with pressing work. A probe waits at the worker
-	// for a probesPerLease-th of it, a lost probe is noticed 300 ms later, and the next
-	// ones must be answered before a lease is granted again.
+	// shortLease is the lease of a worker with latency-sensitive work. A probe waits at the
+	// worker for up to shortLease/probesPerLease, a lost probe is detected 300 ms later,
+	// and further ones must be answered before a lease is granted again.
 	shortLease = 1200 * time.Millisecond
 	// probesPerLease is how many probes of a worker fit into its lease: one may be lost.
 	probesPerLease = 3
@@ -13,21 +13,21 @@
 	// worker's margin, advice and an append to the log.
 	restartTime = lapseMargin + 200*time.Millisecond
 	// separationShare is the part of a deferrable step's slack during which it avoids
-	// workers with pressing work. Afterwards it may use any worker, as there may be no
-	// other room.
+	// workers with latency-sensitive work. Afterwards it may use any worker, as there may
+	// be no other room.
 	separationShare = 0.5
 )
 
-// latencySensitive reports whether the step's result is worthless if it is delayed by the longest
-// lease and run again. Other steps are deferrable.
+// latencySensitive reports whether the step's result is worthless if the step must be run
+// again after the longest lease. Other steps are deferrable.
 //
 // A task on a worker behind a network partition can start elsewhere only when the
-// worker's lease is over. Pressing work therefore has short leases. Deferrable work has
-// long ones: most partitions end before the lease does, and a restart would lose its
-// progress. A worker has one lease for all its runs, so the two kinds are placed on
-// separate workers while there is room.
+// worker's lease has expired. Latency-sensitive work therefore has short leases.
+// Deferrable work has long ones: most partitions end before the lease does, and a restart
+// would lose its progress. A worker has one lease for all its runs, so the two kinds are
+// placed on separate workers while there is room.
 //
-// With leases of 6 s, a partition of a zone for 6 s held the urgent tasks there, of
+// With leases of 6 s, a partition of a zone for 6 s delayed the urgent tasks there, of
 // 0.64 s, for its whole length, beyond three times their objective.
 //
 // Declared run times are up to 90% off, and a fifth of the urgent tasks would count as
@@ -57,8 +57,8 @@
 }
 
 // leaseFor returns the length of the lease that a worker gets. An idle worker gets a short
-// one: a granted lease cannot be shortened and would apply to pressing work placed there
-// next. With the leader's link full, probes are too late to renew short leases, and runs
+// one: a granted lease cannot be shortened and would apply to latency-sensitive work
+// placed there next. With the leader's link full, probes are too late to renew short leases, and runs
 // whose leases lapse must be started again.
 func (s *Scheduler) leaseFor(w *worker) time.Duration {
 	if w.counts.deferrable > 0 || s.linkLoad > fullLink {
@@ -79,13 +79,13 @@
 }
 
 const (
-	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and pressing
-	// work would share a lease behind all other candidates. It is more than any worker
+	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and
+	// latency-sensitive work would share a lease behind all other candidates. It is more than any worker
 	// has, so that best fit decides only among workers of one kind.
 	mixPenalty = 1e5
 	// alreadyMixedBonus ranks workers that both kinds share already before those with
 	// deferrable work alone. The deferrable work there ends and none is added, which
-	// leaves some workers with pressing work only.
+	// leaves some workers with latency-sensitive work only.
 	alreadyMixedBonus = mixPenalty / 2
 )
 
@@ -110,9 +110,9 @@
 	return left > 2*shortLease
 }
 
-// keptApart reports whether a deferrable step must avoid a worker because of the pressing
-// work there. A lower score is not enough: most work is deferrable and would fill all
-// remaining room, and soon all workers would have long leases.
+// keptApart reports whether a deferrable step must avoid a worker because of the
+// latency-sensitive work there. A lower score is not enough: most work is deferrable and
+// would fill all remaining room, and soon all workers would have long leases.
 func (s *Scheduler) keptApart(st *step, w *worker) bool {
 	if w.counts.latencySensitive == 0 || st.rec.LongRunning || st.latencySensitive {
 		return false
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -48,7 +48,7 @@
 	return w
 }
 
-// Guards against urgent tasks that are held on unreachable workers until they are worthless.
+// Guards against urgent tasks that are stuck on unreachable workers until they are worthless.
 // Two workers are cut off by a network partition of a zone for 6 s, while urgent jobs arrive
 // at a steady rate in a region full of slow ones. Urgent tasks of a second are needed within
 // three seconds and must run again elsewhere long before the partition ends; with leases as
@@ -120,7 +120,7 @@
 		w.run(50 * time.Millisecond)
 		for name, fw := range w.sched.workers {
 			if n := fw.counts; n.latencySensitive > 0 && n.deferrable > 0 {
-				t.Fatalf("worker %s has %d urgent and %d slow runs while others have room", name, n.latencySensitive, n.deferrable)
+				t.Fatalf("worker %s has %d latency-sensitive and %d deferrable runs while others have room", name, n.latencySensitive, n.deferrable)
 			}
 		}
 	}
@@ -164,13 +164,13 @@
 	w.run(50 * time.Millisecond)
 	r := w.sched.jobs["u-long"].occs[0].steps[0].tasks[0].run
 	if r == nil || !r.latencySensitive {
-		t.Error("the task is not pressing because of its declared run time")
+		t.Error("the task is not latency-sensitive because of its declared run time")
 	}
 }
 
 // Guards against placing more tasks on an unreachable worker. Urgent jobs arrive every 10 ms.
 // Probes detect the worker after a second; until then it appears increasingly idle and
-// would get job after job, each stuck until its lease is over. After the first start without
+// would get job after job, each stuck until its lease expires. After the first start without
 // an answer in time, the next jobs must go elsewhere.
 func TestOverdueAnswerStopsPlacement(t *testing.T) {
 	w := mixedWorld(t, 5)
--- a/region/overdue.go
+++ b/region/overdue.go
@@ -22,7 +22,7 @@
 //
 // The guard is against placing work on a worker that is lost or unreachable. Probes detect
 // that after a second; until then the worker appears healthy and increasingly idle. Each
-// start sent there is stuck until its lease is over, and extends the lease of all runs
+// start sent there is stuck until its lease expires, and extends the lease of all runs
 // there. The first call that is not answered in time shows it sooner.
 type pendingCalls map[model.RunID]time.Duration
 
--- a/region/pass.go
+++ b/region/pass.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// freeBounds holds upper bounds of the room on any one worker. A step that asks for more
-// fits on no worker, and no worker need be checked; under load that settles most
-// waiting steps. Assignments leave the bounds too high until they are computed again,
+// freeBounds holds upper bounds of the free resources of any one worker. A step that
+// requests more fits on no worker, and no worker need be checked; under load that is so
+// for most waiting steps. Assignments leave the bounds too high until they are computed again,
 // which costs no more than a full check of a step.
 type freeBounds struct {
 	valid     bool
--- a/region/place.go
+++ b/region/place.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// reason tells why a worker cannot take a task now.
+// reason is why a worker cannot take a task now.
 type reason int
 
 const (
@@ -171,8 +171,8 @@
 }
 
 // interferesWith reports whether the step and the runs on the worker would interfere.
-// Tasks that fill (best-effort tasks on leftover processors) slow down tasks that serve
-// users under a latency target, by amounts that nobody declares.
+// Tasks with Fills (best-effort tasks on idle processors) slow down tasks that serve users
+// under a latency target, by an amount that is not declared.
 func (st *step) interferesWith(w *worker) bool {
 	if !st.rec.Fills && st.rec.TargetMs == 0 {
 		return false
@@ -222,8 +222,8 @@
 // others, in thousandths of a core left free.
 const speedWeight = 2e4
 
-// speedScore prefers fast workers for pressing work, which then still ends in time, and
-// slow workers for all other work, which leaves the fast ones free.
+// speedScore prefers fast workers for latency-sensitive work, which then still ends in
+// time, and slow workers for all other work, which leaves the fast ones free.
 func (st *step) speedScore(w *worker) float64 {
 	if st.latencySensitive {
 		return speedWeight * w.speed.logRatio
--- a/region/probe.go
+++ b/region/probe.go
@@ -43,9 +43,9 @@
 	maxEndsListed = 500
 )
 
-// probe sends a Hold call, which renews the worker's leases and reads which runs are
-// running and which have ended. One probe at a time is in flight for a worker, so that
-// answers arrive in order.
+// probe sends a probe, which renews the worker's leases and reads which runs are running
+// and which have ended. One probe at a time is in flight for a worker, so that answers
+// arrive in order.
 func (s *Scheduler) probe(w *worker, after time.Duration) {
 	if w.probing || !s.leading() || w.entry.Address == "" {
 		return
@@ -191,8 +191,8 @@
 	}
 }
 
-// stopStray stops a run that is not wanted: its start was executed late, or its job is
-// over.
+// stopStray stops a run that is not wanted: its start was executed late, or its job has
+// ended.
 func (s *Scheduler) stopStray(w *worker, id model.RunID) {
 	s.explain(id.Task.Job, "stray run stopped", Field{"worker", w.entry.ID}, Field{"run", id.Run}, Field{"step", id.Task.Step}, Field{"task", id.Task.Index})
 	s.emit(Stop{Request: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
@@ -200,8 +200,8 @@
 
 // endUnlisted ends the runs that the answer to a probe does not list, if the probe was sent
 // after they were settled. A member of a gang may be missing because the end of another
-// member counts for all of them. The gang starts again only when every member is over, and
-// that end is applied before its own member is.
+// member counts for all of them. The gang starts again only when every member has ended,
+// and the end of the other member is applied first.
 func (s *Scheduler) endUnlisted(w *worker, listed map[model.TaskID]bool, sentAt time.Duration) {
 	for _, r := range w.sortedRuns() {
 		if listed[r.task.id()] || !r.settledBefore(sentAt) {
--- a/region/region.go
+++ b/region/region.go
@@ -1,20 +1,20 @@
 // Package region is the scheduler of all workers of a region. One host leads and
 // runs it; every other host can take over. It is a state machine without I/O,
-// clock or goroutines: Step takes the time and an event and returns commands,
+// clock or goroutines: Handle takes the time and an event and returns commands,
 // which the driver (package leader) executes.
 //
 // Invariants:
 //
 //   - Every assignment is committed to the log before its start is sent, so a
 //     successor knows every run that may be alive, and on which worker.
-//   - Every end of a run is committed to the log before the worker is told that
-//     it may drop it.
-//   - The log rejects appends of a replaced leader, and a worker rejects orders
+//   - Every end of a run is committed to the log before it is acknowledged to the
+//     worker, which then drops it.
+//   - The log rejects appends of a replaced leader, and a worker rejects calls
 //     with a fencing token below the highest it has seen.
 //   - A run that may be alive is not started elsewhere until its worker reports
 //     its end or has a new incarnation, or its lease has certainly expired.
 //   - When a worker has a new incarnation, or does not report a run of an earlier
-//     leader, an unanswered start may still be executed late. The task is not
+//     leader, an unanswered start call may still be executed. The task is not
 //     started again while that is possible.
 package region
 
@@ -38,15 +38,15 @@
 
 const (
 	// leadershipProofTTL is how long a successful append proves that no other host leads.
-	// During a longer log outage, leases are no longer renewed and expire. A successor
-	// waits this long before it counts a run on an unreachable worker as lost. 4 s
-	// covers the usual outages of 3 to 5 s together with a lease of 6 s.
+	// During a longer log outage, leases are no longer renewed and expire. A new leader
+	// waits this long and a lease before it counts a run on an unreachable worker as
+	// lost. 4 s covers the usual outages of 3 to 5 s together with a lease of 6 s.
 	leadershipProofTTL = 4 * time.Second
 	// clockDrift is the largest share by which a worker's clock may run slower than the
 	// scheduler's.
 	clockDrift = 0.02
 	// lapseMargin is added to the computed end of a lease, since a worker needs some
-	// time to stop the runs under it.
+	// time to stop its runs.
 	lapseMargin = 300 * time.Millisecond
 	// logStall is how long the log may commit nothing before new assignments stop:
 	// about ten times its usual latency, and less than a ticket is valid. The limit is
@@ -54,7 +54,7 @@
 	logStall       = 250 * time.Millisecond
 	logStallFactor = 1.5
 	// leaderHeartbeatInterval is the longest pause between appends of a leader. Other hosts
-	// consider a leader gone after two to three such pauses. A leader with work appends
+	// count a leader as failed after two to three such pauses. A leader with work appends
 	// more often.
 	leaderHeartbeatInterval = 100 * time.Millisecond
 )
@@ -84,7 +84,7 @@
 	periodic       []*job // jobs with further occurrences
 	written        []*job // jobs in the order of writtenAt
 	finished       []*job // jobs in the order they ended
-	lateStartRuns  []*run // runs whose end waits until no start of them can be executed late
+	lateStartRuns  []*run // runs of awaitLateStart
 	estimates      estimates
 	shares         shares
 
@@ -97,7 +97,7 @@
 	uncommittedSince time.Duration    // the oldest uncommitted entry has waited since then or longer
 	commitCallbacks  []commitCallback // callbacks that wait for a commit, by entry number
 	leadSince        time.Duration
-	// meanAnswerTime is a running mean of the time in which workers answer an order.
+	// meanAnswerTime is a running mean of the time in which workers answer a start or stop.
 	meanAnswerTime time.Duration
 	loopLag        time.Duration // running mean of how long events wait for the driver
 	linkLoad       float64       // share of the driver's link in use
@@ -128,8 +128,8 @@
 	}
 }
 
-// Handle applies one event at a time that never goes back, and returns the commands to
-// execute. The result is valid until the next call.
+// Handle applies one event and returns the commands to execute. now must not go back. The
+// result is valid until the next call.
 func (s *Scheduler) Handle(now time.Duration, ev Event) []Command {
 	s.now = now
 	s.out = s.out[:0]
@@ -181,21 +181,21 @@
 	s.emit(Explain{Job: job, Message: what, Fields: fields})
 }
 
-// leading reports whether this scheduler may send orders to workers.
+// leading reports whether this scheduler may call workers.
 func (s *Scheduler) leading() bool { return s.fence > 0 }
 
 // leadershipConfirmed reports whether a recent append has proved that no other host leads.
 //
-// The guard is against a leader that is cut off from the log or paused: it would
-// continue to renew leases of workers that its successor cannot reach, and the
-// successor would start their tasks elsewhere. One task would then run twice. The guard
-// holds because the successor waits for leadershipProofTTL and a lease from its own claim on,
-// which is later than the last append of its predecessor.
+// The guard is against a leader that cannot reach the log or was paused: it would
+// continue to renew leases of workers that the new leader cannot reach, and the new
+// leader would start their tasks elsewhere. One task would then run twice. The guard holds
+// because the new leader waits for leadershipProofTTL and a lease from its claim on, which
+// is later than the last append of the earlier leader.
 func (s *Scheduler) leadershipConfirmed() bool { return s.now-s.lastProofAt < leadershipProofTTL }
 
 // logStalled reports whether entries are in flight and the log has committed nothing
-// for too long. More assignments would only queue behind those entries in the present
-// order, and take room from more urgent work that arrives before the log recovers.
+// for too long. More assignments would only queue behind those entries, and take room
+// from more urgent work that arrives before the log recovers.
 func (s *Scheduler) logStalled() bool {
 	stall := max(logStall, time.Duration(logStallFactor*float64(s.appendLatency)))
 	return s.seq > s.committed && s.now-s.uncommittedSince > stall
--- a/region/replay.go
+++ b/region/replay.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// snapshotJob returns a snapshot of the job.
+// snapshotJob returns a snapshot of the job, which the log stores as a Kept record.
 func snapshotJob(j *job) *record.Kept {
 	k := &record.Kept{Job: j.rec, Cancelled: j.cancelled}
 	for _, occ := range j.occs {
--- a/region/run.go
+++ b/region/run.go
@@ -28,7 +28,7 @@
 	phaseRunning                // the worker has it
 	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseLateStart              // over otherwise, but a start call may still be executed
+	phaseLateStart              // ended, unless a start call is still executed
 )
 
 // run is one run of a task that may be alive.
@@ -39,14 +39,14 @@
 	ref              model.WorkerRef // the worker, and its incarnation, that it was assigned to
 	phase            phase
 	demand           model.Resources
-	latencySensitive bool // counted as pressing in its worker's runCounts
+	latencySensitive bool // counted as latency-sensitive in its worker's runCounts
 	ticket           string
 	assigned         time.Duration
 	startedAt        time.Duration // when the worker was known to have it
 	endsAt           time.Duration // when it is expected to end
 	leaseUntil       int64         // end of the lease that its start grants, on the worker's clock
 	startUnanswered  bool          // a start got no answer and may still be executed
-	settledAt        time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
+	settledAt        time.Duration // a probe sent later that does not list the run proves that it has ended; 0 if not settled
 	startAttempts    int
 	calls            startCalls
 	percent          int
@@ -59,8 +59,8 @@
 	return model.WorkerRef{ID: r.ref.ID, Address: r.worker.entry.Address, BornUnix: r.ref.BornUnix}
 }
 
-// settledBefore reports whether the run is over if a probe that was sent then does not
-// list it.
+// settledBefore reports whether a probe sent at sentAt that does not list the run proves
+// that it has ended.
 func (r *run) settledBefore(sentAt time.Duration) bool {
 	if r.phase == phaseInherited {
 		// The first probe has brought this leader's fencing token to the worker, which
@@ -107,7 +107,7 @@
 	s.used[ws] = s.used[ws].Add(t.step.request)
 }
 
-// release reverses occupy for a run that is over.
+// release reverses occupy for a run that has ended.
 func (s *Scheduler) release(r *run) {
 	t := r.task
 	if t.run != r {
@@ -145,7 +145,7 @@
 
 // sendStart sends the start of a run. A retry grants the lease of the first attempt: on a
 // worker that does not answer, each longer lease would defer the time at which the run is
-// known to be over.
+// known to have ended.
 func (s *Scheduler) sendStart(r *run, after time.Duration) {
 	if r.task.run != r || (r.phase != phaseLogging && r.phase != phaseSending) {
 		return
--- a/region/speed.go
+++ b/region/speed.go
@@ -8,7 +8,7 @@
 
 // speed estimates how fast a worker is relative to the others, as the natural logarithm
 // of the ratio. Workers of one size and label may differ by half. A gang ends with its
-// slowest member, and the room of faster members is held idle meanwhile; urgent work on
+// slowest member, and the resources of faster members are idle meanwhile; urgent work on
 // a slow worker is late from its start.
 type speed struct {
 	logRatio float64
--- a/region/step_test.go
+++ b/region/step_test.go
@@ -121,7 +121,7 @@
 }
 
 // Tasks on one worker start but make no progress, while the worker answers every
-// heartbeat. Without a check of progress the job would wait for them forever: they are
+// probe. Without a check of progress the job would wait for them forever: they are
 // stopped there and run on the other worker.
 func TestHangingTasksAreMoved(t *testing.T) {
 	w := newWorld(t, 1)
@@ -133,7 +133,7 @@
 	w.mustComplete("a")
 }
 
-// One worker runs every task six times slower, answers every heartbeat and fails no
+// One worker runs every task six times slower, answers every probe and fails no
 // task. Urgent jobs arrive at a steady rate and would each be late there; their slow
 // tasks must be moved to other workers before the result is useless.
 func TestUrgentTasksAreMovedOffSlowWorker(t *testing.T) {
@@ -270,7 +270,7 @@
 //	33.222 stop failed        task 0  no answer (three times)
 //	34.724 task 1 ends alone
 //
-// Once one member's start is given up, the run cannot become complete: the others must
+// Once one member's start is aborted, the run cannot become complete: the others must
 // be stopped then, not when that member is settled.
 func TestGangIsStoppedWhenOneStartIsGivenUp(t *testing.T) {
 	w := newWorld(t, 1)
@@ -288,7 +288,7 @@
 	w.workers["w1"].unreachable = true
 	w.run(testGangWait + time.Second)
 	if alone := w.workers["w2"].gangTimeouts; len(alone) != 0 {
-		t.Errorf("%v waited until the time-out for a member whose start had been given up", alone)
+		t.Errorf("%v waited until the time-out for a member whose start had been aborted", alone)
 	}
 	w.workers["w1"].unreachable = false
 	w.run(15 * time.Second)
--- a/region/strict_test.go
+++ b/region/strict_test.go
@@ -10,7 +10,7 @@
 )
 
 // strict is the additional state of a world with the platform's worst permitted faults:
-// calls of every kind are carried out 2 to 12 s late, after their caller has given up;
+// calls of every kind are executed 2 to 12 s late, after they have timed out at the caller;
 // a worker restarts after a delay, with a new clock, new numbers of ends and possibly
 // another capacity, and the host list shows the new incarnation even later.
 type strict struct {
@@ -130,7 +130,7 @@
 
 // strictCall makes a call to a worker. A call in time reaches only the incarnation that it
 // names: it uses a connection over which that incarnation has answered. A late call is not
-// answered in time and is carried out long afterwards: by the same incarnation or not at
+// answered in time and is executed long afterwards: by the same incarnation or not at
 // all if it ends with its connection, otherwise by the incarnation that exists then.
 func (w *world) strictCall(generation int, name string, after time.Duration, ref model.WorkerRef, run func(*fakeWorker) CallError, event func(CallError) Event) {
 	reply := func(after time.Duration, e CallError) { w.answer(generation, after, func() Event { return event(e) }) }
--- a/region/worker.go
+++ b/region/worker.go
@@ -41,9 +41,9 @@
 	overdue        bool            // one of them is overdue, as of the newest pass
 	health         health
 	speed          speed
-	reserved       *step           // gang for which room is reserved here
-	softReserved   *step           // further gang for which room is reserved here against late work only
-	wasReserved    *step           // reserved or kept in the previous pass
+	reserved       *step           // gang that reserves room here
+	softReserved   *step           // further gang that reserves room here against late work only
+	wasReserved    *step           // reserved or softReserved in the previous pass
 	claimed        model.Resources // room for which steps request tickets in this pass
 }
 
@@ -124,7 +124,7 @@
 // The guard is against a worker's write that is executed after its next incarnation has
 // written its own entry. If it were applied as a new incarnation, live runs would be ended
 // and their tasks would run twice. If the worker's time of day was set back instead, a
-// probe finds that the known incarnation is over, or its leases end, and the entry is
+// probe finds that the known incarnation has ended, or its leases expire, and the entry is
 // accepted when it is read again.
 func (w *worker) outdated(e model.WorkerEntry) bool {
 	if e.BornUnix < w.entry.BornUnix && w.fenced && !w.probeMissed {
@@ -210,8 +210,8 @@
 	// congestedFor is how long after the leader's link was full answers may be late
 	// because of it.
 	congestedFor = time.Second
-	// maxExpiryDelay bounds for how long after the end of a lease its runs are kept because
-	// the link was full.
+	// maxExpiryDelay bounds how long after the end of a lease its runs are not yet counted
+	// as lost because the link was full.
 	maxExpiryDelay = 3 * time.Second
 )
 
@@ -220,13 +220,13 @@
 //
 // The guard is against a task that runs again after it was done: the worker has listed the
 // end, but the answer is queued in the link behind the leader's other traffic until the
-// lease is over. The guard lasts for as long as answers usually wait there, and has no
+// lease has expired. The guard lasts for as long as answers usually wait there, and has no
 // effect while the link is not full.
 func (s *Scheduler) delayedByLink(w *worker) bool {
 	return s.fullAt > 0 && s.now-s.fullAt < congestedFor && s.now < w.lapsesAt()+maxExpiryDelay
 }
 
-// expireRuns ends the runs on workers whose leases are over even with the largest clock
+// expireRuns ends the runs on workers whose leases have expired even with the largest clock
 // drift, and removes workers that have left and have no runs.
 func (s *Scheduler) expireRuns() {
 	for i := len(s.workerList) - 1; i >= 0; i-- {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -41,8 +41,8 @@
 	runTime      func(id model.TaskID) time.Duration
 	fails        func(id model.TaskID, run int32) bool
 	issuesTicket func(step, worker string) bool  // the advice service issues a ticket
-	losesAnswer  func(call string) bool          // the call is carried out, but its answer is lost
-	callDelay    func(call string) time.Duration // extra delay until the call is carried out
+	losesAnswer  func(call string) bool          // the call is executed, but its answer is lost
+	callDelay    func(call string) time.Duration // extra delay until the call is executed
 	starts       map[model.TaskID]int
 	doneRuns     map[model.TaskID]int32
 	failures     map[model.TaskID]int
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// finish ends a run whose run time is over, as done or failed.
+// finish ends a run, as done or failed, at the end of its run time.
 func (w *world) finish(fw *fakeWorker, id model.TaskID) {
 	number := fw.runs[id].number
 	if w.fails(id, number) {
