--- a/region/step_test.go
+++ b/region/step_test.go
@@ -272,7 +272,7 @@
 //
 // Once one member's start is aborted, the run cannot become complete: the others must
 // be stopped then, not when that member is settled.
-func TestGangIsStoppedWhenOneStartIsGivenUp(t *testing.T) {
+func TestGangIsStoppedWhenOneStartIsAborted(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
 	w.addWorker("w2", 1)
