--- a/region/learn.go
+++ b/region/learn.go
@@ -159,8 +159,8 @@
 // health tracks the failures of a worker. A worker that fails every task it starts is
 // always idle and would attract all work.
 type health struct {
-	failures      int           // in a row
-	quarantineEnd time.Duration // end of the quarantine
+	failures  int           // in a row
+	releaseAt time.Duration // end of the quarantine
 }
 
 func (h *health) done() { *h = health{} }
@@ -171,18 +171,16 @@
 		return
 	}
 	period := minQuarantine << min(h.failures-quarantineAfter, 3)
-	h.quarantineEnd = now + min(period, maxQuarantine)
+	h.releaseAt = now + min(period, maxQuarantine)
 }
 
 // stalled puts a worker on which a task hangs into quarantine, since the next task
 // would hang too.
-func (h *health) stalled(now time.Duration) {
-	h.quarantineEnd = max(h.quarantineEnd, now+minQuarantine)
-}
+func (h *health) stalled(now time.Duration) { h.releaseAt = max(h.releaseAt, now+minQuarantine) }
 
 func (h *health) refused(now time.Duration) { h.failed(now) }
 
-func (h *health) healthy(now time.Duration) bool { return now >= h.quarantineEnd }
+func (h *health) healthy(now time.Duration) bool { return now >= h.releaseAt }
 
 // failurePenalty ranks a worker with recent failures behind others, in thousandths of a
 // core for each failure.
