--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -214,7 +214,7 @@
 	for {
 		sentAt := w.now()
 		err := w.tryActive(ctx, timeout, records)
-		w.noteResult(err, sentAt)
+		w.recordResult(err, sentAt)
 		switch {
 		case err == nil:
 			return Ack{SentAt: sentAt}, nil
@@ -266,7 +266,7 @@
 	return err
 }
 
-func (w *Writer) noteResult(err error, sentAt time.Duration) {
+func (w *Writer) recordResult(err error, sentAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.healthy = err == nil
