--- a/host/host_test.go
+++ b/host/host_test.go
@@ -56,7 +56,7 @@
 	f := newTestRegion(t, 1, 1, 50*time.Millisecond)
 	m := f.hosts[0]
 	before := len(f.store.Records("intake"))
-	m.endpoint.LoseAnswers(1)
+	m.endpoint.DropResponses(1)
 	if status, _ := f.call(m, http.MethodPost, jobPath(1), "k1", twoTasks); status != http.StatusOK {
 		t.Fatalf("submission answered %d", status)
 	}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -58,7 +58,7 @@
 		return func() { f.hosts[h].endpoint.Refuse(false) }
 	}},
 	{"log responses lost", func(f *fleet, h, _ int) func() {
-		f.hosts[h].endpoint.LoseAnswers(5)
+		f.hosts[h].endpoint.DropResponses(5)
 		return nil
 	}},
 	{"log partition down", func(f *fleet, h, _ int) func() {
