--- a/host/election.go
+++ b/host/election.go
@@ -296,7 +296,7 @@
 		return false
 	}
 	if claim == nil || (claim.Host == e.host.settings.Host && e.localLeader() == nil) {
-		return true // no claim yet, or the newest is this host's own and no longer led
+		return true // no claim yet, or the newest is this host's own and it no longer leads
 	}
 	switch e.ping(ctx, claim) {
 	case pingLeading:
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -101,7 +101,7 @@
 // lateExecutionAcrossRestarts is the same with calls that are executed even if the
 // incarnation that they were sent to has ended.
 var lateExecutionAcrossRestarts = fault{"worker executes late, across restarts", func(f *fleet, h, w int) func() {
-	f.worker(w).KeepDelayedCalls()
+	f.worker(w).DeliverDelayedCalls()
 	return lateExecution.inject(f, h, w)
 }}
 
