--- a/sched/job.go
+++ b/sched/job.go
@@ -10,57 +10,57 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// job is a job that has not ended.
+// job is the state of a job that has not ended.
 type job struct {
 	item     queue.Item[*job]
 	id       ident.JobID
 	spec     work.Spec
-	need     resource.Vector // of one task, slots and connections left out
-	units    int64           // of the team's limit, of one task
+	need     resource.Vector // of one task, without slots and connections
+	units    int64           // units of the team's limit that one task uses
 	team     *team
 	family   *family
-	accepted time.Duration // on this process's clock; negative if before its start
-
-	tasks   []task  // made when the first task starts
-	fresh   int     // tasks below this index were attempted at least once
-	last    int     // tasks from this index on will never be attempted
-	ready   []int32 // attempted tasks that wait for another attempt
-	later   []int32 // tasks displaced for urgent work; they wait behind the others, by time
-	delayed int     // tasks that wait out a back-off
+	accepted time.Duration // on this process's clock; negative if before the process started
+
+	tasks   []task  // allocated when the first task is taken
+	fresh   int     // index of the first task that was never taken for a start
+	last    int     // tasks with this index or a higher one are never attempted
+	ready   []int32 // tasks below fresh that wait for an attempt
+	later   []int32 // tasks preempted for urgent work, oldest first; they start after all others
+	delayed int     // tasks in backoff
 	open    int     // attempts that have not ended
 	begun   int     // attempts that ran or may have run
 	done    int     // tasks that succeeded
-	failed  int     // tasks that failed for good
+	failed  int     // tasks that failed and are not retried
 
-	closed    bool // cancelled or given up: nothing more of it starts
-	broken    bool // a gang of which an attempt failed; its others are being stopped
-	faulty    bool // with broken: the round counts as a failure
-	uncertain bool // an attempt was stopped or lost, and is not tried again
+	closed    bool // cancelled or given up: no further task starts
+	broken    bool // gang with a failed attempt; its other attempts are being stopped
+	faulty    bool // with broken: the round counts toward failures
+	uncertain bool // an attempt was stopped or lost and is not retried
 	over      bool
-	failures  int // of gangs: rounds that failed
+	failures  int // failed rounds of a gang
 	reason    string
 
 	hold      *hold
-	noHold    time.Duration // none before this time
-	load      load          // of its tasks that wait
-	predicted time.Duration // start, as predicted on arrival; zero if none was
-	timers    int           // pending timers that name the job
+	noHold    time.Duration // no hold is made before this time
+	load      load          // of its waiting tasks
+	predicted time.Duration // start time predicted on arrival; zero if none was
+	timers    int           // pending timers that refer to the job
 }
 
-// task is one task of a job after its first attempt.
+// task is the state of one task of a job, kept from its first attempt on.
 type task struct {
-	run       *attempt // the open attempt, or nil
-	attempts  int32    // assigned so far
-	failures  int32    // attempts that failed or were lost
-	displaced int32
+	run       *attempt  // the open attempt, or nil
+	attempts  int32     // assigned so far
+	failures  int32     // attempts that failed or were lost
+	displaced int32     // attempts that were preempted
 	last      place.Ref // worker of the last failure, or place.None
 	done      bool
 }
 
-// gang reports whether all tasks of the job start together.
+// gang reports whether all tasks of the job must start together.
 func (j *job) gang() bool { return j.spec.Kind == work.KindGang }
 
-// waiting returns how many tasks could start now.
+// waiting returns the number of tasks that are ready to start.
 func (j *job) waiting() int {
 	if j.over || j.closed || j.broken {
 		return 0
@@ -76,13 +76,12 @@
 	return shape
 }
 
-// take returns the index of the next task to start, which must be one that
-// waits.
+// take removes the next task to start from the waiting tasks and returns its
+// index. At least one task must be waiting.
 //
-// Tasks that were displaced for urgent work come last. If they came first, the
-// same few tasks would be displaced up to their bound and then run on, and
-// urgent work would meet a zone in which nothing may be displaced while others
-// that may be wait.
+// Tasks preempted for urgent work come last. If they came first, the same few
+// tasks would be preempted until they reach MaxDisplaced. They would then fill
+// the zone and block urgent work, while tasks that may be preempted wait.
 func (j *job) take() int {
 	if n := len(j.ready); n > 0 {
 		index := j.ready[n-1]
@@ -97,7 +96,7 @@
 	return int(index)
 }
 
-// waitDisplaced lets the task of a displaced attempt wait for the next one.
+// waitDisplaced queues the task of a preempted attempt for another attempt.
 func (j *job) waitDisplaced(a *attempt) {
 	if a.yields {
 		j.later = append(j.later, int32(a.id.Index))
@@ -106,7 +105,7 @@
 	j.ready = append(j.ready, int32(a.id.Index))
 }
 
-// takeFresh returns the index of the next task that was never taken.
+// takeFresh returns the index of the next task that was never taken before.
 func (j *job) takeFresh() int {
 	if j.tasks == nil {
 		j.tasks = make([]task, j.spec.Tasks)
@@ -118,7 +117,8 @@
 	return j.fresh - 1
 }
 
-// peekLast returns the worker on which the next task to start failed last.
+// peekLast returns the worker on which the next task to start failed last, or
+// place.None.
 func (j *job) peekLast() place.Ref {
 	if n := len(j.ready); n > 0 {
 		return j.tasks[j.ready[n-1]].last
@@ -129,7 +129,8 @@
 	return place.None
 }
 
-// maxAttempts returns how often a task of the job may be attempted.
+// maxAttempts returns the limit on the failures of a task of the job; a gang
+// counts failed rounds. It is one for work that is not idempotent.
 func (s *Scheduler) maxAttempts(j *job) int {
 	if j.spec.NonIdempotent {
 		return 1
@@ -140,7 +141,7 @@
 	return min(j.spec.MaxAttempts, s.opts.MaxAttempts)
 }
 
-// due returns the time that orders a job among those of its team.
+// due returns the time by which the jobs of a team are ordered.
 func (s *Scheduler) due(j *job) time.Duration {
 	if s.opts.FirstFit {
 		return 0
@@ -155,8 +156,8 @@
 	return j.accepted + patience
 }
 
-// requeue puts a job into the order of waiting, or takes it out, so that it
-// is there exactly while it has tasks to start.
+// requeue adds the job to the queue if it has tasks to start, and removes it
+// otherwise.
 func (s *Scheduler) requeue(j *job) {
 	s.weigh(j)
 	if waits := j.waiting() > 0; waits != j.item.Waiting() {
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -10,7 +10,7 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Reasons of jobs that end without success.
+// Reasons reported for jobs that end without success.
 const (
 	reasonCancelled = "cancelled"
 	reasonDeadline  = "its deadline passed before it could start"
@@ -55,8 +55,8 @@
 	}
 }
 
-// deadlinePassed gives up the tasks that were never attempted. Tasks that
-// began in time may be tried again.
+// deadlinePassed gives up the tasks that were never attempted. Tasks first
+// attempted before the deadline may still be retried.
 func (s *Scheduler) deadlinePassed(j *job) {
 	before := j.waiting()
 	j.last = j.fresh
@@ -91,8 +91,8 @@
 	}
 }
 
-// settle ends a job that has nothing left to run, and otherwise keeps its
-// place in the order of waiting.
+// settle ends a job that has no open, waiting or delayed task left. Otherwise
+// it updates the job's entry in the queue.
 func (s *Scheduler) settle(j *job) {
 	if j.over {
 		return
@@ -110,7 +110,7 @@
 	s.finish(j)
 }
 
-// finish ends a job and says with which outcome.
+// finish ends a job and emits JobEnded with its outcome.
 func (s *Scheduler) finish(j *job) {
 	end := JobEnded{Job: j.id, Reason: j.reason}
 	switch {
@@ -148,7 +148,8 @@
 	s.settle(j)
 }
 
-// restoreTask takes over what is known of a task that was attempted.
+// restoreTask restores the state of a task that was attempted before the
+// takeover.
 func (s *Scheduler) restoreTask(j *job, known RestoredTask) {
 	if known.Index < 0 || known.Index >= j.spec.Tasks || known.Attempts == 0 {
 		return
@@ -184,8 +185,8 @@
 	}
 }
 
-// restoreAttempt takes over a running attempt. If its worker is not known it
-// counts as lost.
+// restoreAttempt adopts a running attempt. If its worker is not known, the
+// attempt counts as lost.
 func (s *Scheduler) restoreAttempt(j *job, known RestoredTask) {
 	a := s.newAttempt(j, known.Index)
 	ref, ok := s.cell.Lookup(known.Worker)
