--- a/sched/learn.go
+++ b/sched/learn.go
@@ -7,22 +7,22 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// family is what was learned from the jobs of one team with one name. It is
-// used to predict and to rank, never to admit more than is declared.
+// family holds run statistics of the jobs of one team with one name. They serve
+// predictions and ranking, never to admit more than is declared.
 type family struct {
 	runs      int
 	mean      float64 // run time in seconds, moving average
-	deviation float64 // mean absolute deviation from it
+	deviation float64 // mean absolute deviation of the run time, in seconds
 	ends      int
-	failing   float64 // failure rate, moving average
+	failing   float64 // failure rate from 0 to 1, moving average
 }
 
 const (
-	familiesMost = 4096             // kept at once; the oldest goes first
-	learnRate    = 0.125            // weight of the newest run
-	learnedRuns  = 3                // runs after which the mean is preferred to the declared time
-	defaultRun   = 10 * time.Minute // assumed if nothing is declared or learned
-	cautiousBy   = 2                // deviations added where an end must not come late
+	familiesMost = 4096             // kept at once; the oldest is evicted first
+	learnRate    = 0.125            // least weight of the newest run in the averages
+	learnedRuns  = 3                // from this many runs on, the mean replaces the declared run time
+	defaultRun   = 10 * time.Minute // assumed if no run time is declared or learned
+	cautiousBy   = 2                // deviations added to the mean where a late end would delay a held job
 )
 
 type familyKey struct {
@@ -30,7 +30,7 @@
 	name string
 }
 
-// families holds a bounded number of families, the oldest of which make room.
+// families holds at most familiesMost families and evicts the oldest.
 type families struct {
 	byKey map[familyKey]*family
 	ring  []familyKey
@@ -56,7 +56,8 @@
 	return made
 }
 
-// learnRun takes the end of an attempt into account.
+// learnRun updates the statistics with the end of an attempt. Attempts that
+// were refused, stopped or lost are ignored.
 func (s *Scheduler) learnRun(j *job, e ending) {
 	if e.refused || e.stopped || e.lost {
 		return
@@ -77,8 +78,9 @@
 	f.mean += (ran - f.mean) * rate
 }
 
-// judge keeps the failure rate. It starts at an even guess, so that the second
-// failure of new work points at the work, and one alone at neither.
+// judge updates the failure rate. The first failure of new work gives a rate of
+// one half, which blames neither the work nor the worker; the second in a row
+// raises it above mostlyFails, which blames the work.
 func (f *family) judge(failed bool) {
 	const guesses = 2
 	rate := max(learnRate, 1/float64(f.ends+guesses))
@@ -111,7 +113,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// weigh keeps the sums of waiting work of a team up to date with a job.
+// weigh updates the job's load and the sums of its team.
 func (s *Scheduler) weigh(j *job) {
 	var work load
 	if waiting := j.waiting(); waiting > 0 {
@@ -125,5 +127,6 @@
 	}
 }
 
-// pressing reports whether the job comes before the plain work of its team.
+// pressing reports whether the job has a deadline or is urgent, and so comes
+// before the other work of its team.
 func (j *job) pressing() bool { return j.spec.Deadline > 0 || j.spec.Urgent }
--- a/sched/load.go
+++ b/sched/load.go
@@ -2,7 +2,8 @@
 
 import "github.com/fireflyfold/fireflyfold/resource"
 
-// load is an amount of waiting work: resources times seconds.
+// load is an amount of waiting work, in resource-seconds: milli-CPU, MiB and
+// accelerators, each times seconds.
 type load struct {
 	cpu, memory, accelerators float64
 }
@@ -27,8 +28,8 @@
 	return load{l.cpu * factor, l.memory * factor, l.accelerators * factor}
 }
 
-// over returns the seconds that a zone of the size needs for the work, by the
-// resource that takes longest.
+// over returns the seconds that a zone with the total resources needs for the
+// work, by the resource that takes longest.
 func (l load) over(total resource.Vector) float64 {
 	longest := 0.0
 	for _, pair := range [...][2]float64{
