--- a/sched/plan.go
+++ b/sched/plan.go
@@ -10,13 +10,13 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// planner works out when room is expected to come free. Its slices are kept
+// planner estimates when workers will have room for a job. It reuses its slices
 // between plans.
 type planner struct {
 	ends endHeap
 	free []resource.Vector // by place.Ref
 	refs []place.Ref
-	room []int64 // by place.Ref: tasks of the planned job
+	room []int64 // by place.Ref: tasks of the planned job that fit
 }
 
 // plannedEnd is the expected end of a running attempt.
@@ -26,8 +26,8 @@
 	need resource.Vector
 }
 
-// endHeap is a heap of expected ends, the earliest first. Few of them have to
-// come out before a task fits, so that sorting all would be wasted.
+// endHeap is a min-heap of expected ends. Usually a task fits after a few ends,
+// so sorting all of them would be wasted.
 type endHeap []plannedEnd
 
 func (h endHeap) Len() int           { return len(h) }
@@ -36,20 +36,22 @@
 func (h *endHeap) Push(x any)        { *h = append(*h, x.(plannedEnd)) }
 func (h *endHeap) Pop() any          { *h = (*h)[:len(*h)-1]; return nil }
 
-// A plan looks at so many workers, or at so many for each task if that is more.
+// A plan samples planWorkers workers, or planFactor for each task if that is
+// more.
 const (
 	planWorkers = 1024
 	planFactor  = 4
 )
 
-// stopTime is how long a task is expected to take to checkpoint and stop.
+// stopTime is the time that a task is expected to take to checkpoint and stop.
 const stopTime = 2 * time.Second
 
-// leastLeft is the least time that a running task is expected to go on.
+// leastLeft is the minimum expected remaining time of a running task.
 const leastLeft = time.Second
 
-// expectedEnd returns when an attempt is expected to end. One that ran over
-// its expected time is given a quarter of what it ran so far.
+// expectedEnd returns when an attempt is expected to end. The remaining time is
+// at least a quarter of its run time so far, which covers attempts that run
+// longer than expected.
 func (s *Scheduler) expectedEnd(a *attempt) timeOf {
 	if a.stopping != "" && s.now < a.stopAt+emptyMost {
 		return s.now + stopTime
@@ -58,11 +60,11 @@
 	return s.now + max(a.expected-ran, ran/4, leastLeft)
 }
 
-// earliest returns the earliest time at which a job is expected to fit, and
-// the workers on which it will. It reports false if it will not without a
-// change of the workers.
+// earliest returns the earliest time at which a job is expected to fit, and the
+// workers on which it will fit. It reports false if the sampled workers have no
+// room even after all their running tasks have ended; replicas do not end.
 //
-// Workers with bars count only if they have no others than ignore.
+// Workers with bars other than ignore are left out.
 func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (timeOf, []place.Ref, bool) {
 	missing := p.wanted(j)
 	p.sample(s, max(planWorkers, planFactor*int(missing)), ignore)
@@ -73,8 +75,9 @@
 	return at, p.choose(s, j, missing), true
 }
 
-// sample takes workers that take new tasks, at most so many, each time from
-// another place on, so that a plan has a bounded cost in a zone of any size.
+// sample collects at most `most` workers that accept new tasks. The first index
+// moves with each job that arrives. The limit bounds the cost of a plan in a
+// large zone.
 func (p *planner) sample(s *Scheduler, most int, ignore place.Bars) {
 	p.refs = p.refs[:0]
 	n := s.cell.Refs()
@@ -98,8 +101,9 @@
 	return 1
 }
 
-// run lets the running attempts on the workers end one after the other until
-// `missing` tasks of the job fit.
+// run simulates the ends of the running attempts on the workers, in order of
+// time, until `missing` tasks of the job fit. It returns the time of the last
+// simulated end, and whether the tasks fit.
 func (p *planner) run(s *Scheduler, j *job, refs []place.Ref, missing int64) (timeOf, bool) {
 	p.load(s, j, refs)
 	fits := int64(0)
@@ -120,7 +124,8 @@
 	return at, fits >= missing
 }
 
-// load copies the free room of the workers and collects the expected ends.
+// load copies the free resources of the workers and collects the expected ends
+// of their attempts.
 func (p *planner) load(s *Scheduler, j *job, refs []place.Ref) {
 	for len(p.free) < s.cell.Refs() {
 		p.free = append(p.free, resource.Vector{})
@@ -141,8 +146,9 @@
 	heap.Init(&p.ends)
 }
 
-// choose returns the fewest workers that will hold the job, those with most
-// room for it now first, because less of it is kept idle there.
+// choose returns sampled workers that have room for the job at the planned
+// time. It prefers workers with the most room for the job now, where a hold
+// keeps fewer resources idle.
 func (p *planner) choose(s *Scheduler, j *job, missing int64) []place.Ref {
 	slices.SortFunc(p.refs, func(a, b place.Ref) int {
 		now := cmp.Compare(
@@ -170,7 +176,7 @@
 	return chosen
 }
 
-// largest returns a worker with the most processors, or nil.
+// largest returns a worker with the most CPU, or nil if there is no worker.
 func (s *Scheduler) largest() *place.Worker {
 	var most *place.Worker
 	for ref := place.Ref(0); int(ref) < s.cell.Refs(); ref++ {
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -6,27 +6,27 @@
 	"github.com/fireflyfold/fireflyfold/place"
 )
 
-// prediction compares predicted starts with real ones.
+// prediction tracks the error of predicted start times.
 type prediction struct {
-	sampleAt timeOf // no sample before this time
+	sampleAt timeOf // time from which the next sample may be taken
 	accuracy Accuracy
 }
 
-// Accuracy is how predicted starts compared with real ones. Both times are
+// Accuracy describes the error of predicted start times. Error and Wait are
 // moving averages.
 type Accuracy struct {
-	Samples int           // jobs whose start was predicted on arrival
-	Error   time.Duration // absolute
-	Wait    time.Duration // real wait of the same jobs
+	Samples int           // jobs whose start was predicted on arrival and that have started
+	Error   time.Duration // absolute difference of predicted and actual start
+	Wait    time.Duration // actual wait of the same jobs
 }
 
 const (
-	sampleEvery = 5 * time.Second // shortest time between two jobs whose start is predicted on arrival
-	errorPart   = 8               // the newest sample counts one part in so many
+	sampleEvery = 5 * time.Second // minimum time between two predictions on arrival
+	errorPart   = 8               // the newest sample has a weight of at least 1/errorPart
 )
 
-// predictArrival predicts the start of a job that has to wait, for a sample
-// of the jobs, so that the error of predictions is known.
+// predictArrival predicts the start of a job that has to wait. It does so for a
+// sample of the jobs, to measure the error of predictions.
 func (s *Scheduler) predictArrival(j *job) {
 	if s.opts.FirstFit || s.now < s.sampleAt || j.over || s.open(j.item.Class()) {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// predictionDue takes the start of a job into account.
+// predictionDue updates the accuracy when a job with a prediction starts.
 func (s *Scheduler) predictionDue(j *job) {
 	if j.predicted == 0 {
 		return
@@ -52,8 +52,9 @@
 }
 
 // predictStart returns the time until a waiting job is expected to start: when
-// room for it is planned to come free, but not before the work that its team
-// has ahead of it has gone through the team's share of the zone.
+// there is room for it, but not before its team's share of the zone has served
+// the team's earlier work. It reports false if the job fits on no sampled
+// workers.
 func (s *Scheduler) predictStart(j *job) (time.Duration, bool) {
 	if j.hold != nil {
 		return max(j.hold.at-s.now, 0), true
@@ -69,13 +70,12 @@
 	return max(at-s.now, s.drained(j.team, ahead)), true
 }
 
-// drained returns the time until so much waiting work of a team has started,
-// if the zone is shared by weight between the teams with waiting work and no
-// more arrives.
+// drained returns the time that the zone needs to serve the load of a team. It
+// assumes that the teams with waiting work share the zone by weight, and that
+// no more work arrives.
 //
-// While a team works off its load at a rate of its weight, each other team
-// works off its own at the rate of its weight, until it has none left. The
-// time is what the zone needs for all that is worked off meanwhile.
+// Meanwhile every other team is served in proportion to its weight until it has
+// no waiting work left. The time is what the zone needs for all of this work.
 func (s *Scheduler) drained(t *team, own load) time.Duration {
 	total := s.cell.Total()
 	rounds := own.over(total) / float64(t.Weight)
@@ -91,10 +91,10 @@
 	return seconds(sum.over(total))
 }
 
-// expectedWait returns how long new work of a team is expected to wait if it
-// comes after the pressing work alone, or after all work of the team. It
-// assumes that other teams go on to use what they are entitled to, because
-// under overload their work goes on to arrive.
+// expectedWait returns how long new work of a team is expected to wait: behind
+// the team's pressing work alone, or behind all work of the team. It assumes
+// that the other teams keep using their entitled shares, because under overload
+// their work keeps arriving.
 func (s *Scheduler) expectedWait(t *team, pressing bool) time.Duration {
 	ahead := t.load
 	if pressing {
@@ -104,5 +104,5 @@
 	return seconds(ahead.over(s.cell.Total()) / max(share, leastShare))
 }
 
-// leastShare keeps expected waits finite.
+// leastShare is the minimum divisor for expected waits, which keeps them finite.
 const leastShare = 1e-6
