--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -7,21 +7,24 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// A worker that fails everything at once is always idle and, ranked by room
-// alone, draws all waiting work of the zone until every job has used up its
-// attempts. It is therefore set aside after failures of different jobs in a
-// row, tried with one task after a while, and taken back when that succeeds.
+// A worker on which every task fails at once is always idle. Ranked by room
+// alone, it attracts all waiting work of the zone until every job has used up
+// its attempts. It is therefore quarantined after consecutive failures of
+// different jobs, then probed with one task at a time, and used normally again
+// after a success.
 //
-// Failures that come from the work must not set workers aside, or one team's
-// broken jobs would take the zone from all others: failures of work that
-// mostly fails do not count, and at most a quarter of the workers is set aside.
+// Failures caused by the work must not quarantine workers, or one team's broken
+// jobs would take the zone from all other teams. Failures of work that mostly
+// fails are therefore not counted, and at most a quarter of the workers is
+// quarantined.
 const (
-	mostSick       = 4           // one in so many workers may be set aside
-	mostlyFails    = 0.5         // failure rate above which work is its own cause
-	refusalBackoff = time.Second // after the first refusal, doubled each time
+	mostSick       = 4           // at most 1/mostSick of the workers is quarantined
+	mostlyFails    = 0.5         // failure rate above which failures are blamed on the work
+	refusalBackoff = time.Second // backoff after the first refusal, doubled each time
 )
 
-// judgeWorker draws conclusions about the worker from the end of an attempt.
+// judgeWorker updates the failure state of the worker after the end of an
+// attempt, and quarantines the worker if needed.
 func (s *Scheduler) judgeWorker(a *attempt, ev AttemptEnded) {
 	h := s.host(a.worker)
 	if ev.Stopped || ev.Unknown {
@@ -63,7 +66,8 @@
 	s.dirty = true
 }
 
-// quarantine sets a worker aside, each time for twice as long.
+// quarantine bars a worker from new work, each time for twice as long, up to
+// QuarantineMax.
 func (s *Scheduler) quarantine(ref place.Ref, h *host) {
 	delay := doubled(s.opts.QuarantineMin, s.opts.QuarantineMax, h.sentences)
 	h.sentences++
@@ -74,9 +78,9 @@
 	s.after(timer{at: h.returns, kind: timerWorker, worker: ref, life: h.life})
 }
 
-// workerReturns ends a quarantine or the back-off after a refusal. A worker
-// that comes back from a quarantine is barred again by the first task that is
-// placed on it, until that task has ended.
+// workerReturns ends a quarantine or the backoff after a refusal. After a
+// quarantine the worker is probed: the first task placed on it bars it from
+// further work until that task has ended.
 func (s *Scheduler) workerReturns(ref place.Ref, life uint32) {
 	h := s.host(ref)
 	if h.life != life {
@@ -91,11 +95,11 @@
 	s.dirty = true
 }
 
-// onTrial reports whether the next task on the worker is a trial.
+// onTrial reports whether the next task on the worker is a probe.
 func (h *host) onTrial() bool { return h.sentences > 0 }
 
-// workerRefused keeps new work off a worker that just refused a start, so that
-// the same decision is not taken again at once.
+// workerRefused bars a worker that refused a start for the backoff time.
+// Otherwise the scheduler would choose the same worker again at once.
 func (s *Scheduler) workerRefused(ref place.Ref, reason ports.Refusal) {
 	s.cell.Unbar(ref, place.BarProbing)
 	if reason == "" {
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -7,18 +7,18 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// A team whose work arrives when others have filled the zone gets its share
-// only as fast as their tasks end. Where these may be displaced, a few of them
-// at a time are checkpointed until the shares are near again, and their workers
-// are held for that team until they have ended.
+// A team whose work arrives when other teams fill the zone gets its fair share
+// only as fast as their tasks end. Tasks that may be preempted are therefore
+// checkpointed, a few at a time, until the shares are close to fair. Their
+// workers are held for the team until the tasks have ended.
 const (
 	rebalanceEvery = time.Second
-	rebalancePart  = 24   // one task a round for so many workers
-	shareSlack     = 0.01 // distance from the fair share, as part of the zone, that is left alone
+	rebalancePart  = 24   // tasks preempted per round: one, and one more for each rebalancePart workers
+	shareSlack     = 0.01 // tolerated distance from the fair share, as a fraction of the zone
 )
 
-// rebalance displaces tasks of teams that are over their fair share, for a
-// team that is under its own.
+// rebalance preempts tasks of teams above their fair share for the team that is
+// furthest below its own. It runs at most once in rebalanceEvery.
 func (s *Scheduler) rebalance() {
 	if s.opts.KeepRunning || s.queue.Len() == 0 {
 		return
@@ -49,8 +49,8 @@
 	s.empty(workers, emptying{team: under})
 }
 
-// demands returns what each team uses and should have, by its number. Tasks
-// that are being stopped count no longer.
+// demands returns the used and the fair share of each team, by team number.
+// Tasks that are being stopped are not counted.
 func (s *Scheduler) demands() []queue.Demand {
 	demands := make([]queue.Demand, len(s.teamList))
 	for i, t := range s.teamList {
@@ -64,8 +64,8 @@
 	return demands
 }
 
-// mostUnder returns the team that lacks most of its fair share and has work
-// waiting, or nil.
+// mostUnder returns the team with waiting work that is furthest below its fair
+// share, or nil if none is below it by more than shareSlack.
 func (s *Scheduler) mostUnder(demands []queue.Demand) *team {
 	var most *team
 	lacks := shareSlack
