--- a/sched/sched.go
+++ b/sched/sched.go
@@ -8,43 +8,44 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// Scheduler decides for the durable work of one availability zone.
+// Scheduler schedules the durable work of one availability zone. It is not safe
+// for concurrent use.
 type Scheduler struct {
 	opts   Options
 	now    time.Duration
 	out    []Command
 	cell   *place.Cell
 	placer *place.Placer
-	asked  *place.Placer // for questions, which must not change decisions
+	asked  *place.Placer // for queries, which must not change later placements
 	queue  *queue.Queue[*job]
 
 	jobs      map[ident.JobID]*job
 	hosts     []host // by place.Ref
 	teams     map[ident.TeamID]*team
-	teamList  []*team // in the order of their first event
+	teamList  []*team // in order of their first event
 	families  families
 	services  map[ident.ServiceID]*service
 	serviceOf map[ident.JobID]*service
-	inOrder   []*service // in the order of declaration
+	inOrder   []*service // in order of declaration
 	timers    timers
 	holds     []*hold
 	prediction
 
-	seq         uint64 // of arrivals
-	newest      *job   // the only job whose waiting changed, if nothing else is dirty
-	dirty       bool   // something happened that could let work start
-	planAt      timeOf // no planning before this time
+	seq         uint64 // sequence number of the last job that arrived
+	newest      *job   // the only job with new waiting tasks, unless dirty is set
+	dirty       bool   // a change may allow waiting work to start
+	planAt      timeOf // time from which holds may be planned again
 	planner     planner
 	making      []emptying
-	displaceAt  timeOf                                           // no displacing before this time
-	rebalanceAt timeOf                                           // no rebalancing before this time
-	wakes       struct{ plan, displace, rebalance, look timeOf } // last wake-ups that were set
+	displaceAt  timeOf                                           // time from which tasks may be preempted again
+	rebalanceAt timeOf                                           // time from which shares may be rebalanced again
+	wakes       struct{ plan, displace, rebalance, look timeOf } // times of the last wake-ups set
 	sick        int                                              // quarantined workers
 	openFunc    func(*queue.Class[*job]) bool
 	gangRefs    []place.Ref // scratch
 }
 
-// New returns a scheduler that knows no worker and no job.
+// New returns a scheduler without workers and jobs.
 func New(opts Options) *Scheduler {
 	opts = opts.withDefaults()
 	cell := place.NewCell()
@@ -64,8 +65,8 @@
 	return s
 }
 
-// Step takes one event at time now, on the process's own monotonic clock, and
-// returns the commands that follow. The slice is valid until the next call.
+// Step handles one event at time now, on the process's own monotonic clock, and
+// returns the resulting commands. The slice is valid until the next call.
 func (s *Scheduler) Step(now time.Duration, ev Event) []Command {
 	s.now = max(s.now, now)
 	clear(s.out)
@@ -77,8 +78,8 @@
 	return s.out
 }
 
-// decide starts what can start. If one job is all that changed, nothing else
-// can, because the last decision left nothing that could.
+// decide starts the waiting work that fits. If only one job changed, it tries
+// that job's class alone: the last decision left no other work that fits.
 func (s *Scheduler) decide() {
 	newest := s.newest
 	s.newest = nil
@@ -134,7 +135,8 @@
 
 func (s *Scheduler) emit(c Command) { s.out = append(s.out, c) }
 
-// Next returns the time at which a Tick is due, and false if none is.
+// Next returns the time at which a Tick is due. It reports false if no timer is
+// set.
 func (s *Scheduler) Next() (time.Duration, bool) {
 	if len(s.timers.heap) == 0 {
 		return 0, false
@@ -142,10 +144,10 @@
 	return s.timers.heap[0].at, true
 }
 
-// Waiting returns the number of jobs with tasks that wait to start.
+// Waiting returns the number of jobs with tasks ready to start.
 func (s *Scheduler) Waiting() int { return s.queue.Len() }
 
-// Accuracy returns how predicted starts compared with real ones.
+// Accuracy returns the error of the start times predicted so far.
 func (s *Scheduler) Accuracy() Accuracy { return s.accuracy }
 
 // Jobs returns the number of jobs that have not ended.
--- a/sched/service.go
+++ b/sched/service.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// service is a declared service and its replicas in this zone.
+// service is the state of a declared service and its replicas in this zone.
 type service struct {
 	id       ident.ServiceID
 	job      ident.JobID
@@ -18,14 +18,14 @@
 	need     resource.Vector
 	units    int64
 	replicas map[ident.AttemptID]*attempt
-	order    []*attempt // the same, by start
+	order    []*attempt // the replicas, in order of start
 	spread   *place.Spread
 
-	next     int    // index of the next replica
-	mark     uint64 // position in the log of freed room when none fitted
-	failures int    // of replicas in a row
-	notUntil timeOf // no start before this time, after a failure
-	last     place.Ref
+	next     int       // index of the next replica
+	mark     uint64    // position in the log of freed room when no worker fitted; zero if not set
+	failures int       // consecutive failures of replicas
+	notUntil timeOf    // end of the backoff after a failure
+	last     place.Ref // worker of the last failure, or place.None
 	removed  bool
 }
 
@@ -62,8 +62,8 @@
 	s.dirty = true
 }
 
-// replicaRestored adopts a replica that runs already. Its identifier keeps the
-// job number of the scheduler that started it.
+// replicaRestored adopts a replica that is already running. The replica keeps
+// the job id that it got from the scheduler that started it.
 func (s *Scheduler) replicaRestored(ev ReplicaRestored) {
 	ref, ok := s.cell.Lookup(ev.Worker)
 	if !ok {
@@ -106,8 +106,8 @@
 	svc.spread.Add(s.cell, ref, 1)
 }
 
-// replicaEnded forgets a replica that ended. Replicas that keep failing are
-// started again after a growing back-off.
+// replicaEnded removes a replica that ended. After consecutive failures the
+// service starts replicas with a growing backoff.
 func (s *Scheduler) replicaEnded(a *attempt, e ending) {
 	svc := a.service
 	delete(svc.replicas, a.id)
@@ -152,7 +152,7 @@
 	}
 }
 
-// reconcileServices brings every service to its count.
+// reconcileServices brings every service to its wanted number of replicas.
 func (s *Scheduler) reconcileServices() {
 	for i := 0; i < len(s.inOrder); {
 		svc := s.inOrder[i]
@@ -165,15 +165,15 @@
 	}
 }
 
-// staying reports whether a replica counts toward the wanted number: it is not
-// being stopped and its worker is not being removed.
+// staying reports whether a replica counts toward the wanted number: neither the
+// replica is being stopped nor its worker removed.
 func (s *Scheduler) staying(a *attempt) bool {
 	return a.stopping == "" && s.cell.Worker(a.worker).Bars&place.BarLeaving == 0
 }
 
-// reconcile starts replicas that are missing and stops those that are too
-// many. A replica on a leaving worker is stopped only when its replacement has
-// started, so that a planned change never takes the service below its count.
+// reconcile starts missing replicas and stops surplus ones. A replica on a
+// leaving worker is stopped only after its replacement has started, so a planned
+// removal never takes the service below its wanted number.
 func (s *Scheduler) reconcile(svc *service) {
 	stay, up, leaving := 0, 0, 0
 	for _, a := range svc.order {
@@ -245,9 +245,9 @@
 	return true
 }
 
-// displaceForReplicas checkpoints displaceable tasks where replicas are missing
-// and no worker has room for them. Callers of a service wait for an answer now,
-// and a zone full of batch work may not come free for hours.
+// displaceForReplicas preempts tasks for missing replicas that fit on no worker.
+// Callers of a service wait for an answer, and a zone full of batch work may
+// have no room for hours.
 func (s *Scheduler) displaceForReplicas(svc *service, missing int) {
 	if s.opts.FirstFit || s.now < s.displaceAt || s.now < svc.notUntil || s.blocked(svc.team, svc.units) {
 		return
@@ -272,8 +272,8 @@
 	s.empty(workers, emptying{service: svc})
 }
 
-// emptied returns a worker on which room was made for the service, or
-// place.None.
+// emptied returns a worker that was emptied for the service and has room for a
+// replica now, or place.None.
 func (s *Scheduler) emptied(svc *service) place.Ref {
 	for _, e := range s.making {
 		w := s.cell.Worker(e.worker)
@@ -284,8 +284,8 @@
 	return place.None
 }
 
-// stopLeaving stops one replica whose worker is being removed, and reports
-// whether it had started.
+// stopLeaving stops one replica whose worker is being removed. It reports
+// whether that replica had started.
 func (s *Scheduler) stopLeaving(svc *service) bool {
 	for _, a := range svc.order {
 		if a.stopping == "" && !s.staying(a) {
@@ -296,8 +296,8 @@
 	return false
 }
 
-// stopCrowded stops the replica that is worth least: one that has not started,
-// then the newest in the rack with the most.
+// stopCrowded stops one surplus replica: the newest that has not started or,
+// if all have, the newest in the rack with the most replicas.
 func (s *Scheduler) stopCrowded(svc *service) {
 	var worst *attempt
 	crowd := func(a *attempt) int32 {
