--- a/sched/team.go
+++ b/sched/team.go
@@ -9,20 +9,20 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// team is what the scheduler keeps of a team.
+// team is the state that the scheduler keeps for a team.
 type team struct {
 	*queue.Team[*job]
-	number     int    // in the order of first events
-	limit      int64  // upper limit over the fleet; zero if there is none
-	refused    int64  // units that were refused last; math.MaxInt64 if none were
-	refusedTil timeOf // after this the refusal counts no longer
-	retrying   bool   // a timer for the end of the refusal is set
-	load       load   // of the tasks that wait
-	deadlines  load   // the same, of jobs with a deadline or urgent ones only
-	headJob    *job   // the job that is due first, when last looked at
-	headSince  timeOf
+	number     int    // index in Scheduler.teamList
+	limit      int64  // upper limit in units over the fleet; zero for none
+	refused    int64  // units refused last; math.MaxInt64 if none were
+	refusedTil timeOf // end of the refusal
+	retrying   bool   // a timer for a retry after the refusal is set
+	load       load   // of the waiting tasks
+	deadlines  load   // of the waiting tasks of pressing jobs: urgent or with a deadline
+	headJob    *job   // head of the team's queue when last planned
+	headSince  timeOf // time from which headJob is at the head
 	unitsInUse int64
-	stopping   resource.Vector // needs of the attempts that are being stopped
+	stopping   resource.Vector // needs of the attempts being stopped
 }
 
 func (s *Scheduler) team(id ident.TeamID) *team {
@@ -59,15 +59,15 @@
 	}
 }
 
-// refusalFor is how long a refusal of units counts before they are tried again,
-// in case the word that more units came was lost.
+// refusalFor is how long a refusal of units lasts before the units are requested
+// again. The retry covers a lost LimitChanged event.
 const refusalFor = time.Second
 
-// tryUse takes limit units for tasks that start. If they are refused, work of
-// the team that needs as many is passed over until units come back. Once the
-// refused work is due, all work of the team waits, so that smaller work does
-// not use up every unit that comes back; but only for as long again, so that
-// work over the limit never stops its team for good.
+// tryUse takes limit units for tasks that start. After a refusal, work of the
+// team that needs as many units or more is skipped until units are returned.
+// Once the refused work is due, all work of the team waits; otherwise smaller
+// work would take every returned unit. This lasts Options.Patience at most, so
+// work that never gets its units cannot block its team forever.
 func (s *Scheduler) tryUse(t *team, units int64, due timeOf) bool {
 	if s.opts.Limits.TryUse(t.ID, units) {
 		t.unitsInUse += units
@@ -86,8 +86,8 @@
 	return false
 }
 
-// refusalPassed tries again after a refusal, or goes on waiting if there was
-// another one meanwhile.
+// refusalPassed retries after a refusal. If a later refusal is still in force,
+// it sets the timer again.
 func (s *Scheduler) refusalPassed(t *team) {
 	if s.now < t.refusedTil {
 		s.after(timer{at: t.refusedTil, kind: timerLimit, team: t})
@@ -97,15 +97,16 @@
 	s.dirty = true
 }
 
-// overLimit reports whether so many units are never granted at once.
+// overLimit reports whether the units exceed the team's upper limit and can
+// never be granted together.
 func (t *team) overLimit(units int64) bool { return t.limit > 0 && units > t.limit }
 
-// blocked reports whether the upper limit stops work that needs the units.
+// blocked reports whether a refusal in force covers work that needs the units.
 func (s *Scheduler) blocked(t *team, units int64) bool {
 	return units >= t.refused && s.now < t.refusedTil
 }
 
-// doneUnits gives limit units back.
+// doneUnits returns limit units and clears the refusal.
 func (s *Scheduler) doneUnits(t *team, units int64) {
 	s.opts.Limits.Done(t.ID, units)
 	t.unitsInUse -= units
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -7,7 +7,7 @@
 	"github.com/fireflyfold/fireflyfold/place"
 )
 
-// timeOf is a moment on the process's own clock.
+// timeOf is a point in time on the process's own monotonic clock.
 type timeOf = time.Duration
 
 type timerKind uint8
@@ -15,23 +15,23 @@
 const (
 	timerDeadline timerKind = iota
 	timerBackoff
-	timerWorker // the end of a quarantine or of a refusal's back-off
+	timerWorker // end of a quarantine or of the backoff after a refused start
 	timerHold
 	timerService
-	timerControl // a control that has not been followed by an end
-	timerLimit   // the end of a refusal of limit units
-	timerWake    // nothing but a look at the waiting work
+	timerControl // repeat of a control to an attempt that has not ended
+	timerLimit   // end of a refusal of limit units
+	timerWake    // another scheduling decision
 )
 
-// timer is something that is due at a time. It is checked when it fires, so
-// that what it was set for may have gone meanwhile.
+// timer is an action at a point in time. The action checks its condition again
+// when it fires, because the job, hold or attempt may have ended by then.
 type timer struct {
 	at      timeOf
 	seq     uint64
 	kind    timerKind
 	index   int32
 	worker  place.Ref
-	life    uint32 // of the worker's position, against reuse
+	life    uint32 // of the worker's place.Ref, which may have been reused
 	job     *job
 	hold    *hold
 	service *service
@@ -39,12 +39,12 @@
 	attempt *attempt
 }
 
-// timers is a heap of timers. Those of ended jobs stay until they are half of
-// the heap, so that a wave of cancellations costs nothing here.
+// timers is a heap of timers. Timers of ended jobs are removed only when they
+// are more than half of the heap, which keeps mass cancellations cheap.
 type timers struct {
 	heap timerHeap
 	seq  uint64
-	dead int
+	dead int // timers of ended jobs
 }
 
 type timerHeap []timer
@@ -75,9 +75,9 @@
 	heap.Push(&s.timers.heap, t)
 }
 
-// wake sees to it that the waiting work is looked at again at a time, once for
-// each value of slot. It is for decisions that are taken at most so often, so
-// that none is put off until the next event.
+// wake sets a timer for another scheduling decision, unless the last one set for
+// the slot has the same time. Rate-limited decisions use it; without the timer a
+// deferred decision would wait for the next event.
 func (s *Scheduler) wake(slot *timeOf, at timeOf) {
 	if *slot == at {
 		return
@@ -86,7 +86,8 @@
 	s.after(timer{at: at, kind: timerWake})
 }
 
-// forgetTimers drops the timers of ended jobs once they are half of all.
+// forgetTimers counts the timers of an ended job, and removes the timers of all
+// ended jobs once they are more than half of the heap.
 func (s *Scheduler) forgetTimers(j *job) {
 	s.timers.dead += j.timers
 	h := s.timers.heap
@@ -105,7 +106,7 @@
 	heap.Init(&s.timers.heap)
 }
 
-// expire acts on all timers that are due.
+// expire fires all timers that are due.
 func (s *Scheduler) expire() {
 	for len(s.timers.heap) > 0 && s.timers.heap[0].at <= s.now {
 		t := heap.Pop(&s.timers.heap).(timer)
