--- a/sched/words.go
+++ b/sched/words.go
@@ -8,7 +8,7 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Words renders the explanation for an operator.
+// Words returns the explanation as text for an operator.
 func (e Explanation) Words() string {
 	if e.State == StateUnknown {
 		return fmt.Sprintf("job %s is not known here: it ended, or belongs to another zone", e.Job)
@@ -52,7 +52,7 @@
 
 const percent = 100
 
-// cause names what stops the job now.
+// cause returns the text on why the job does not start now.
 func (e Explanation) cause() string {
 	switch {
 	case e.LimitBlocks:
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -7,18 +7,19 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// host is what the scheduler keeps of a worker beside its room.
+// host is the state that the scheduler keeps for a worker, besides its resources
+// in place.Cell.
 type host struct {
 	attempts     []*attempt
-	displaceable resource.Vector // needs of the attempts that may be displaced
-	life         uint32          // counts the workers that had this position
+	displaceable resource.Vector // needs of the attempts that may be preempted
+	life         uint32          // number of earlier workers with this place.Ref
 
-	streak    int // failures of different jobs in a row
-	failedJob ident.JobID
-	sentences int    // quarantines without a success since
-	returns   timeOf // end of the quarantine
-	refusals  int    // refused starts without an accepted one since
-	accepts   timeOf // end of the back-off after a refusal
+	streak    int         // consecutive failures of different jobs
+	failedJob ident.JobID // job of the last counted failure
+	sentences int         // quarantines since the last success
+	returns   timeOf      // end of the quarantine
+	refusals  int         // refused starts since the last attempt that succeeded or failed
+	accepts   timeOf      // end of the backoff after a refused start
 }
 
 func (s *Scheduler) host(ref place.Ref) *host { return &s.hosts[ref] }
@@ -46,8 +47,8 @@
 	s.dirty = true
 }
 
-// workerLeaving empties a worker in a planned change. Work that can be
-// checkpointed moves; the rest runs to its end.
+// workerLeaving drains a worker before its planned removal. Displaceable tasks
+// are checkpointed and start elsewhere; other tasks run to their end.
 func (s *Scheduler) workerLeaving(id ident.WorkerID) {
 	ref, ok := s.cell.Lookup(id)
 	if !ok {
@@ -62,9 +63,8 @@
 	s.dirty = true
 }
 
-// workerRemoved ends what ran on a worker. The attempts are taken off one by
-// one while the worker takes nothing new, so that no attempt is tried again
-// on the worker that is going.
+// workerRemoved ends the attempts on a worker as lost and removes the worker.
+// The worker is cordoned first, so no task is retried on it meanwhile.
 func (s *Scheduler) workerRemoved(id ident.WorkerID) {
 	ref, ok := s.cell.Lookup(id)
 	if !ok {
