--- a/sched/property_test.go
+++ b/sched/property_test.go
@@ -16,10 +16,10 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Over random orders of events: no worker gets more than its size, no team
-// more than its limit, gangs start whole, no attempt is assigned twice, no room
-// stays idle that waiting work could use, and in the end every job has ended
-// and nothing is left reserved.
+// For random sequences of events: no worker is assigned more than its size, no
+// team more than its limit, all tasks of a gang start together, no attempt is
+// assigned twice, and no waiting work fits into idle room. At the end every job
+// has ended and no resources or units are reserved.
 func TestPromisesHoldInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{
@@ -51,7 +51,7 @@
 	{MilliCPU: 8000, MemoryMiB: 8192},
 }
 
-// random makes one random event happen.
+// random applies one random event.
 func (w *world) random(t *rapid.T) {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	id := worker(pick(len(sizes)))
@@ -81,7 +81,7 @@
 
 func (w *world) known(id ident.WorkerID) bool { _, ok := w.sizes[id]; return ok }
 
-// sizeOf keeps the size of a worker while the test knows it.
+// sizeOf returns the size of a known worker, and fresh for others.
 func (w *world) sizeOf(id ident.WorkerID, fresh resource.Vector) resource.Vector {
 	if size, ok := w.sizes[id]; ok {
 		return size
@@ -144,7 +144,7 @@
 	}
 }
 
-// conserves checks that nothing that waits could start now.
+// conserves checks that no waiting work could start now.
 func (w *world) conserves() {
 	for _, t := range w.s.queue.Ordered() {
 		for class := range w.s.classes(t) {
@@ -158,13 +158,14 @@
 				continue
 			}
 			if w.openSlots(j.need, tasks) >= tasks {
-				w.t.Fatalf("job %s waits though %d tasks of %s fit", j.id, tasks, j.need)
+				w.t.Fatalf("job %s waits although %d tasks of %s fit", j.id, tasks, j.need)
 			}
 		}
 	}
 }
 
-// openSlots counts the tasks that fit on workers that take new work.
+// openSlots returns how many tasks fit on workers that accept new work, with at
+// most `most` counted per worker.
 func (w *world) openSlots(need resource.Vector, most int64) int64 {
 	slots := int64(0)
 	for id, free := range w.free {
@@ -176,7 +177,8 @@
 	return slots
 }
 
-// drain lets everything end and checks that nothing is left.
+// drain ends all attempts until every job has ended, and checks that nothing
+// stays reserved.
 func (w *world) drain() {
 	w.t.Helper()
 	w.step(ServiceRemoved{Service: "s"})
@@ -188,7 +190,7 @@
 	}
 	for round := 0; len(w.ended) < len(w.jobs) || len(w.running) > 0; round++ {
 		if round == 3000 {
-			w.t.Fatalf("%d of %d jobs ended, %d attempts run\n%s",
+			w.t.Fatalf("%d of %d jobs ended, %d attempts still run\n%s",
 				len(w.ended), len(w.jobs), len(w.running), w.whyLeft())
 		}
 		for len(w.running) > 0 {
@@ -206,7 +208,8 @@
 	w.checkIdle()
 }
 
-// cancelHopeless cancels what can never fit the workers or the limit.
+// cancelHopeless cancels, in round 2000, the jobs that can never fit the workers
+// or the limit.
 func (w *world) cancelHopeless(round int) {
 	if round != 2000 {
 		return
@@ -229,17 +232,17 @@
 		}
 	}
 	if w.s.Jobs() != 0 || w.s.Waiting() != 0 || len(w.s.holds) != 0 || len(w.s.making) != 0 {
-		w.t.Fatalf("left: %d jobs, %d waiting, %d holds, %d workers being emptied",
+		w.t.Fatalf("after drain: %d jobs, %d waiting, %d holds, %d workers being emptied",
 			w.s.Jobs(), w.s.Waiting(), len(w.s.holds), len(w.s.making))
 	}
 	for id, t := range w.s.teams {
 		if !t.Used.IsZero() || t.unitsInUse != 0 {
-			w.t.Fatalf("team %s still counted with %s, %d units", id, t.Used, t.unitsInUse)
+			w.t.Fatalf("after drain: team %s still uses %s and %d units", id, t.Used, t.unitsInUse)
 		}
 	}
 }
 
-// whyLeft explains the jobs that have not ended.
+// whyLeft returns the explanations of the jobs that have not ended.
 func (w *world) whyLeft() string {
 	var words strings.Builder
 	for seq := uint64(1); seq <= w.seq; seq++ {
--- a/sched/restore_test.go
+++ b/sched/restore_test.go
@@ -9,9 +9,9 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// A scheduler crashes while the last of several tasks runs. Its successor
-// restores the job, whose record names that task alone; the tasks before it
-// must all be waiting, each once, and the takeover must come to an end.
+// A scheduler crashes while the last of several tasks runs. The new scheduler
+// restores the job from a record that names only that task. The restore must
+// return, and each of the earlier tasks must be waiting exactly once.
 func TestRestoreNamesALaterTaskOnly(t *testing.T) {
 	s := New(Options{})
 	const tasks = 4
--- a/sched/world_test.go
+++ b/sched/world_test.go
@@ -10,13 +10,13 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// fataler is what *testing.T and *rapid.T have in common.
+// fataler is the common part of *testing.T and *rapid.T.
 type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// units is a Limits that checks that no team passes its limit.
+// units implements Limits and enforces the limit of each team.
 type units struct {
 	limit map[ident.TeamID]int64
 	used  map[ident.TeamID]int64
@@ -33,8 +33,8 @@
 
 func (u *units) Done(team ident.TeamID, n int64) { u.used[team] -= n }
 
-// world stands for the engine and the workers: it keeps its own account of
-// what runs and fails the test when a command breaks a promise.
+// world simulates the engine and the workers. It keeps its own account of what
+// runs, and fails the test when a command violates an invariant.
 type world struct {
 	t        fataler
 	s        *Scheduler
@@ -42,9 +42,9 @@
 	units    *units
 	sizes    map[ident.WorkerID]resource.Vector
 	free     map[ident.WorkerID]resource.Vector
-	shut     map[ident.WorkerID]bool // takes nothing new
-	running  []Assign                // in order of assignment
-	ever     map[ident.AttemptID]bool
+	shut     map[ident.WorkerID]bool  // cordoned or leaving: accepts no new work
+	running  []Assign                 // in order of assignment
+	ever     map[ident.AttemptID]bool // attempts assigned so far
 	jobs     map[ident.JobID]work.Spec
 	ended    map[ident.JobID]JobEnded
 	controls map[ident.AttemptID]ports.Control
@@ -97,19 +97,19 @@
 	}
 	w.ever[c.ID] = true
 	if _, over := w.ended[c.ID.Job]; over {
-		w.t.Fatalf("attempt %s of an ended job", c.ID)
+		w.t.Fatalf("attempt %s assigned after its job ended", c.ID)
 	}
 	if w.shut[c.Worker] {
-		w.t.Fatalf("attempt %s on %s, which takes nothing new", c.ID, c.Worker)
+		w.t.Fatalf("attempt %s assigned to %s, which accepts no new work", c.ID, c.Worker)
 	}
 	for _, r := range w.running {
 		if r.ID.Job == c.ID.Job && r.ID.Index == c.ID.Index && r.Service == "" {
-			w.t.Fatalf("task of %s runs twice", c.ID)
+			w.t.Fatalf("attempt %s assigned while another attempt of its task runs", c.ID)
 		}
 	}
 	free, ok := w.free[c.Worker]
 	if !ok || !c.Need.Fits(free) {
-		w.t.Fatalf("attempt %s needs %s, worker %s has %s", c.ID, c.Need, c.Worker, free)
+		w.t.Fatalf("attempt %s needs %s, worker %s has %s free", c.ID, c.Need, c.Worker, free)
 	}
 	w.free[c.Worker] = free.Sub(c.Need)
 	w.running = append(w.running, c)
@@ -121,7 +121,7 @@
 		w.t.Fatalf("job %s ended twice", c.Job)
 	}
 	if !c.Outcome.Valid() {
-		w.t.Fatalf("job %s ended with %s", c.Job, c.Outcome)
+		w.t.Fatalf("job %s ended with invalid outcome %s", c.Job, c.Outcome)
 	}
 	w.ended[c.Job] = c
 }
@@ -174,7 +174,7 @@
 	w.step(WorkerRemoved{Worker: id})
 }
 
-// pass lets time pass up to a moment, with a Tick whenever one is due.
+// pass advances time by d, with a Tick whenever one is due.
 func (w *world) pass(d time.Duration) {
 	w.t.Helper()
 	until := w.now + d
@@ -190,7 +190,7 @@
 	w.step(Tick{})
 }
 
-// runningOf returns the positions of the running attempts of a job.
+// runningOf returns the indexes in w.running of the attempts of a job.
 func (w *world) runningOf(job ident.JobID) []int {
 	var at []int
 	for i, a := range w.running {
