--- a/sched/job.go
+++ b/sched/job.go
@@ -21,22 +21,22 @@
 	family   *family
 	accepted time.Duration // on this process's clock; negative if before the process started
 
-	tasks   []task  // allocated when the first task is taken
-	fresh   int     // index of the first task that was never taken for a start
-	last    int     // tasks with this index or a higher one are never attempted
-	ready   []int32 // tasks below fresh that wait for an attempt
-	later   []int32 // tasks preempted for urgent work, oldest first; they start after all others
-	delayed int     // tasks in backoff
-	open    int     // attempts that have not ended
-	begun   int     // attempts that ran or may have run
-	done    int     // tasks that succeeded
-	failed  int     // tasks that failed and are not retried
+	tasks     []task  // allocated when the first task is taken
+	fresh     int     // index of the first task that was never taken for a start
+	last      int     // tasks with this index or a higher one are never attempted
+	ready     []int32 // tasks below fresh that wait for an attempt
+	preempted []int32 // tasks preempted for urgent work, oldest first; they start after all others
+	delayed   int     // tasks in backoff
+	open      int     // attempts that have not ended
+	begun     int     // attempts that ran or may have run
+	done      int     // tasks that succeeded
+	failed    int     // tasks that failed and are not retried
 
 	closed    bool // cancelled or given up: no further task starts
 	broken    bool // gang with a failed attempt; its other attempts are being stopped
 	faulty    bool // with broken: the round counts toward failures
 	uncertain bool // an attempt was stopped or lost and is not retried
-	over      bool
+	ended     bool
 	failures  int // failed rounds of a gang
 	reason    string
 
@@ -62,10 +62,10 @@
 
 // waiting returns the number of tasks that are ready to start.
 func (j *job) waiting() int {
-	if j.over || j.closed || j.broken {
+	if j.ended || j.closed || j.broken {
 		return 0
 	}
-	return j.last - j.fresh + len(j.ready) + len(j.later)
+	return j.last - j.fresh + len(j.ready) + len(j.preempted)
 }
 
 func (j *job) shape() queue.Shape {
@@ -88,18 +88,18 @@
 		j.ready = j.ready[:n-1]
 		return int(index)
 	}
-	if j.fresh < j.last || len(j.later) == 0 {
+	if j.fresh < j.last || len(j.preempted) == 0 {
 		return j.takeFresh()
 	}
-	index := j.later[0]
-	j.later = j.later[1:]
+	index := j.preempted[0]
+	j.preempted = j.preempted[1:]
 	return int(index)
 }
 
 // waitDisplaced queues the task of a preempted attempt for another attempt.
 func (j *job) waitDisplaced(a *attempt) {
 	if a.yields {
-		j.later = append(j.later, int32(a.id.Index))
+		j.preempted = append(j.preempted, int32(a.id.Index))
 		return
 	}
 	j.ready = append(j.ready, int32(a.id.Index))
@@ -123,8 +123,8 @@
 	if n := len(j.ready); n > 0 {
 		return j.tasks[j.ready[n-1]].last
 	}
-	if j.fresh == j.last && len(j.later) > 0 {
-		return j.tasks[j.later[0]].last
+	if j.fresh == j.last && len(j.preempted) > 0 {
+		return j.tasks[j.preempted[0]].last
 	}
 	return place.None
 }
@@ -171,8 +171,8 @@
 	if j.waiting() == 0 || !s.open(j.item.Class()) {
 		return
 	}
-	if s.newest == nil {
-		s.newest = j
+	if s.changedJob == nil {
+		s.changedJob = j
 		return
 	}
 	s.dirty = true
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -94,7 +94,7 @@
 // settle ends a job that has no open, waiting or delayed task left. Otherwise
 // it updates the job's entry in the queue.
 func (s *Scheduler) settle(j *job) {
-	if j.over {
+	if j.ended {
 		return
 	}
 	if j.broken && j.open == 0 && !j.closed {
@@ -125,11 +125,11 @@
 		end.Outcome = work.OutcomeRan
 		end.Failed = true
 	}
-	j.over = true
+	j.ended = true
 	s.weigh(j)
 	s.endHold(j.hold)
 	delete(s.jobs, j.id)
-	s.forgetTimers(j)
+	s.pruneTimers(j)
 	s.emit(end)
 }
 
@@ -150,46 +150,46 @@
 
 // restoreTask restores the state of a task that was attempted before the
 // takeover.
-func (s *Scheduler) restoreTask(j *job, known RestoredTask) {
-	if known.Index < 0 || known.Index >= j.spec.Tasks || known.Attempts == 0 {
+func (s *Scheduler) restoreTask(j *job, restored RestoredTask) {
+	if restored.Index < 0 || restored.Index >= j.spec.Tasks || restored.Attempts == 0 {
 		return
 	}
-	for j.fresh <= known.Index {
+	for j.fresh <= restored.Index {
 		j.ready = append(j.ready, int32(j.takeFresh()))
 	}
-	j.ready = slices.DeleteFunc(j.ready, func(i int32) bool { return int(i) == known.Index })
-	t := &j.tasks[known.Index]
-	t.attempts = int32(known.Attempts)
-	t.displaced = int32(known.Displaced)
-	ran := known.Attempts - known.Refused
-	if known.Running {
+	j.ready = slices.DeleteFunc(j.ready, func(i int32) bool { return int(i) == restored.Index })
+	t := &j.tasks[restored.Index]
+	t.attempts = int32(restored.Attempts)
+	t.displaced = int32(restored.Displaced)
+	ran := restored.Attempts - restored.Refused
+	if restored.Running {
 		ran--
 	}
-	t.failures = int32(max(ran-known.Displaced, 0))
+	t.failures = int32(max(ran-restored.Displaced, 0))
 	j.begun += max(ran, 0)
 	switch {
-	case known.Done:
+	case restored.Done:
 		t.done = true
 		j.done++
-	case known.Failed:
+	case restored.Failed:
 		j.failed++
-		j.reason = known.Reason
-	case known.Running:
-		s.restoreAttempt(j, known)
+		j.reason = restored.Reason
+	case restored.Running:
+		s.restoreAttempt(j, restored)
 	case ran > 0 && j.spec.NonIdempotent:
 		j.uncertain = true
 		j.failed++
 		j.reason = reasonLost
 	default:
-		j.ready = append(j.ready, int32(known.Index))
+		j.ready = append(j.ready, int32(restored.Index))
 	}
 }
 
 // restoreAttempt adopts a running attempt. If its worker is not known, the
 // attempt counts as lost.
-func (s *Scheduler) restoreAttempt(j *job, known RestoredTask) {
-	a := s.newAttempt(j, known.Index)
-	ref, ok := s.cell.Lookup(known.Worker)
+func (s *Scheduler) restoreAttempt(j *job, restored RestoredTask) {
+	a := s.newAttempt(j, restored.Index)
+	ref, ok := s.cell.Lookup(restored.Worker)
 	if !ok {
 		s.opts.Limits.Done(j.team.ID, j.units)
 		s.conclude(a, ending{lost: true, reason: reasonLost})
@@ -198,6 +198,6 @@
 	s.cell.Adopt(ref, j.need)
 	j.team.unitsInUse += j.units
 	s.begin(a, ref)
-	a.started = known.Started
-	a.since = s.now - known.Ran
+	a.started = restored.Started
+	a.since = s.now - restored.Ran
 }
--- a/sched/learn.go
+++ b/sched/learn.go
@@ -10,19 +10,19 @@
 // family holds run statistics of the jobs of one team with one name. They serve
 // predictions and ranking, never to admit more than is declared.
 type family struct {
-	runs      int
-	mean      float64 // run time in seconds, moving average
-	deviation float64 // mean absolute deviation of the run time, in seconds
-	ends      int
-	failing   float64 // failure rate from 0 to 1, moving average
+	runs        int
+	mean        float64 // run time in seconds, moving average
+	deviation   float64 // mean absolute deviation of the run time, in seconds
+	ends        int
+	failureRate float64 // failure rate from 0 to 1, moving average
 }
 
 const (
-	familiesMost = 4096             // kept at once; the oldest is evicted first
-	learnRate    = 0.125            // least weight of the newest run in the averages
-	learnedRuns  = 3                // from this many runs on, the mean replaces the declared run time
-	defaultRun   = 10 * time.Minute // assumed if no run time is declared or learned
-	cautiousBy   = 2                // deviations added to the mean where a late end would delay a held job
+	maxFamilies        = 4096             // kept at once; the oldest is evicted first
+	minLearnRate       = 0.125            // least weight of the newest run in the averages
+	minLearnedRuns     = 3                // from this many runs on, the mean replaces the declared run time
+	defaultRunTime     = 10 * time.Minute // assumed if no run time is declared or learned
+	cautiousDeviations = 2                // deviations added to the mean where a late end would delay a held job
 )
 
 type familyKey struct {
@@ -30,10 +30,10 @@
 	name string
 }
 
-// families holds at most familiesMost families and evicts the oldest.
+// families holds at most maxFamilies families and evicts the oldest.
 type families struct {
 	byKey map[familyKey]*family
-	ring  []familyKey
+	byAge []familyKey
 	next  int
 }
 
@@ -44,12 +44,12 @@
 	if known, ok := f.byKey[key]; ok {
 		return known
 	}
-	if len(f.ring) < familiesMost {
-		f.ring = append(f.ring, key)
+	if len(f.byAge) < maxFamilies {
+		f.byAge = append(f.byAge, key)
 	} else {
-		delete(f.byKey, f.ring[f.next])
-		f.ring[f.next] = key
-		f.next = (f.next + 1) % familiesMost
+		delete(f.byKey, f.byAge[f.next])
+		f.byAge[f.next] = key
+		f.next = (f.next + 1) % maxFamilies
 	}
 	made := &family{}
 	f.byKey[key] = made
@@ -63,7 +63,7 @@
 		return
 	}
 	f := j.family
-	f.judge(e.failed)
+	f.recordOutcome(e.failed)
 	if e.failed {
 		return
 	}
@@ -73,40 +73,40 @@
 		f.mean = ran
 		return
 	}
-	rate := max(learnRate, 1/float64(f.runs))
+	rate := max(minLearnRate, 1/float64(f.runs))
 	f.deviation += (math.Abs(ran-f.mean) - f.deviation) * rate
 	f.mean += (ran - f.mean) * rate
 }
 
-// judge updates the failure rate. The first failure of new work gives a rate of
-// one half, which blames neither the work nor the worker; the second in a row
-// raises it above mostlyFails, which blames the work.
-func (f *family) judge(failed bool) {
+// recordOutcome updates the failure rate. The first failure of new work gives a
+// rate of one half, which blames neither the work nor the worker; the second in
+// a row raises it above brokenWorkRate, which blames the work.
+func (f *family) recordOutcome(failed bool) {
 	const guesses = 2
-	rate := max(learnRate, 1/float64(f.ends+guesses))
+	rate := max(minLearnRate, 1/float64(f.ends+guesses))
 	f.ends++
 	target := 0.0
 	if failed {
 		target = 1
 	}
-	f.failing += (target - f.failing) * rate
+	f.failureRate += (target - f.failureRate) * rate
 }
 
 // estimate returns the expected run time of a task of the job.
 func (s *Scheduler) estimate(j *job) time.Duration {
-	if j.family.runs >= learnedRuns {
+	if j.family.runs >= minLearnedRuns {
 		return seconds(j.family.mean)
 	}
 	if j.spec.Run > 0 {
 		return j.spec.Run
 	}
-	return defaultRun
+	return defaultRunTime
 }
 
 // cautious returns a run time that few tasks of the job exceed.
 func (s *Scheduler) cautious(j *job) time.Duration {
-	if j.family.runs >= learnedRuns {
-		return seconds(j.family.mean + cautiousBy*j.family.deviation)
+	if j.family.runs >= minLearnedRuns {
+		return seconds(j.family.mean + cautiousDeviations*j.family.deviation)
 	}
 	return s.estimate(j)
 }
@@ -123,7 +123,7 @@
 	j.load = work
 	j.team.load = j.team.load.add(change)
 	if j.pressing() {
-		j.team.deadlines = j.team.deadlines.add(change)
+		j.team.pressingLoad = j.team.pressingLoad.add(change)
 	}
 }
 
--- a/sched/load.go
+++ b/sched/load.go
@@ -28,9 +28,9 @@
 	return load{l.cpu * factor, l.memory * factor, l.accelerators * factor}
 }
 
-// over returns the seconds that a zone with the total resources needs for the
-// work, by the resource that takes longest.
-func (l load) over(total resource.Vector) float64 {
+// secondsOn returns the seconds that a zone with the total resources needs for
+// the work, by the resource that takes longest.
+func (l load) secondsOn(total resource.Vector) float64 {
 	longest := 0.0
 	for _, pair := range [...][2]float64{
 		{l.cpu, float64(total.MilliCPU)},
--- a/sched/plan.go
+++ b/sched/plan.go
@@ -13,10 +13,10 @@
 // planner estimates when workers will have room for a job. It reuses its slices
 // between plans.
 type planner struct {
-	ends endHeap
-	free []resource.Vector // by place.Ref
-	refs []place.Ref
-	room []int64 // by place.Ref: tasks of the planned job that fit
+	ends    endHeap
+	free    []resource.Vector // by place.Ref
+	refs    []place.Ref
+	fitting []int64 // by place.Ref: tasks of the planned job that fit
 }
 
 // plannedEnd is the expected end of a running attempt.
@@ -36,18 +36,18 @@
 func (h *endHeap) Push(x any)        { *h = append(*h, x.(plannedEnd)) }
 func (h *endHeap) Pop() any          { *h = (*h)[:len(*h)-1]; return nil }
 
-// A plan samples planWorkers workers, or planFactor for each task if that is
-// more.
+// A plan samples minPlanWorkers workers, or planWorkersPerTask for each task if
+// that is more.
 const (
-	planWorkers = 1024
-	planFactor  = 4
+	minPlanWorkers     = 1024
+	planWorkersPerTask = 4
 )
 
 // stopTime is the time that a task is expected to take to checkpoint and stop.
 const stopTime = 2 * time.Second
 
-// leastLeft is the minimum expected remaining time of a running task.
-const leastLeft = time.Second
+// minTimeLeft is the minimum expected remaining time of a running task.
+const minTimeLeft = time.Second
 
 // expectedEnd returns when an attempt is expected to end. The remaining time is
 // at least a quarter of its run time so far, which covers attempts that run
@@ -57,7 +57,7 @@
 		return s.now + stopTime
 	}
 	ran := s.now - a.since
-	return s.now + max(a.expected-ran, ran/4, leastLeft)
+	return s.now + max(a.expected-ran, ran/4, minTimeLeft)
 }
 
 // earliest returns the earliest time at which a job is expected to fit, and the
@@ -66,9 +66,9 @@
 //
 // Workers with bars other than ignore are left out.
 func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (timeOf, []place.Ref, bool) {
-	missing := p.wanted(j)
-	p.sample(s, max(planWorkers, planFactor*int(missing)), ignore)
-	at, ok := p.run(s, j, p.refs, missing)
+	missing := p.tasksToFit(j)
+	p.sample(s, max(minPlanWorkers, planWorkersPerTask*int(missing)), ignore)
+	at, ok := p.simulate(s, j, p.refs, missing)
 	if !ok {
 		return 0, nil, false
 	}
@@ -91,25 +91,25 @@
 
 // planOn returns when a job is expected to fit on the given workers alone.
 func (s *Scheduler) planOn(j *job, refs []place.Ref) (timeOf, bool) {
-	return s.planner.run(s, j, refs, s.planner.wanted(j))
+	return s.planner.simulate(s, j, refs, s.planner.tasksToFit(j))
 }
 
-func (p *planner) wanted(j *job) int64 {
+func (p *planner) tasksToFit(j *job) int64 {
 	if j.gang() {
 		return int64(j.spec.Tasks)
 	}
 	return 1
 }
 
-// run simulates the ends of the running attempts on the workers, in order of
-// time, until `missing` tasks of the job fit. It returns the time of the last
-// simulated end, and whether the tasks fit.
-func (p *planner) run(s *Scheduler, j *job, refs []place.Ref, missing int64) (timeOf, bool) {
+// simulate ends the running attempts on the workers, in order of expected end,
+// until `missing` tasks of the job fit. It returns the time of the last end, and
+// whether the tasks fit.
+func (p *planner) simulate(s *Scheduler, j *job, refs []place.Ref, missing int64) (timeOf, bool) {
 	p.load(s, j, refs)
 	fits := int64(0)
 	for _, ref := range refs {
-		p.room[ref] = place.Count(j.need, p.free[ref], missing)
-		fits += p.room[ref]
+		p.fitting[ref] = place.Count(j.need, p.free[ref], missing)
+		fits += p.fitting[ref]
 	}
 	at := s.now
 	for len(p.ends) > 0 && (fits < missing || p.ends[0].at <= at) {
@@ -118,8 +118,8 @@
 		at = max(at, end.at)
 		p.free[end.ref] = p.free[end.ref].Add(end.need)
 		room := place.Count(j.need, p.free[end.ref], missing)
-		fits += room - p.room[end.ref]
-		p.room[end.ref] = room
+		fits += room - p.fitting[end.ref]
+		p.fitting[end.ref] = room
 	}
 	return at, fits >= missing
 }
@@ -129,7 +129,7 @@
 func (p *planner) load(s *Scheduler, j *job, refs []place.Ref) {
 	for len(p.free) < s.cell.Refs() {
 		p.free = append(p.free, resource.Vector{})
-		p.room = append(p.room, 0)
+		p.fitting = append(p.fitting, 0)
 	}
 	p.ends = p.ends[:0]
 	for _, ref := range refs {
@@ -158,7 +158,7 @@
 		if now != 0 {
 			return now
 		}
-		if then := cmp.Compare(p.room[b], p.room[a]); then != 0 {
+		if then := cmp.Compare(p.fitting[b], p.fitting[a]); then != 0 {
 			return then
 		}
 		return cmp.Compare(a, b)
@@ -168,9 +168,9 @@
 		if missing <= 0 {
 			break
 		}
-		if p.room[ref] > 0 {
+		if p.fitting[ref] > 0 {
 			chosen = append(chosen, ref)
-			missing -= p.room[ref]
+			missing -= p.fitting[ref]
 		}
 	}
 	return chosen
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -8,8 +8,8 @@
 
 // prediction tracks the error of predicted start times.
 type prediction struct {
-	sampleAt timeOf // time from which the next sample may be taken
-	accuracy Accuracy
+	nextSampleAt timeOf // time from which the next sample may be taken
+	accuracy     Accuracy
 }
 
 // Accuracy describes the error of predicted start times. Error and Wait are
@@ -21,17 +21,17 @@
 }
 
 const (
-	sampleEvery = 5 * time.Second // minimum time between two predictions on arrival
-	errorPart   = 8               // the newest sample has a weight of at least 1/errorPart
+	sampleInterval = 5 * time.Second // minimum time between two predictions on arrival
+	averageWindow  = 8               // the newest sample has a weight of at least 1/averageWindow
 )
 
 // predictArrival predicts the start of a job that has to wait. It does so for a
 // sample of the jobs, to measure the error of predictions.
 func (s *Scheduler) predictArrival(j *job) {
-	if s.opts.FirstFit || s.now < s.sampleAt || j.over || s.open(j.item.Class()) {
+	if s.opts.FirstFit || s.now < s.nextSampleAt || j.ended || s.open(j.item.Class()) {
 		return
 	}
-	s.sampleAt = s.now + sampleEvery
+	s.nextSampleAt = s.now + sampleInterval
 	if in, ok := s.predictStart(j); ok {
 		j.predicted = s.now + in
 	}
@@ -46,7 +46,7 @@
 	j.predicted = 0
 	a := &s.accuracy
 	a.Samples++
-	part := time.Duration(min(a.Samples, errorPart))
+	part := time.Duration(min(a.Samples, averageWindow))
 	a.Error += (missed - a.Error) / part
 	a.Wait += (wait - a.Wait) / part
 }
@@ -67,28 +67,28 @@
 	for _, item := range s.queue.AheadOf(&j.item) {
 		ahead = ahead.add(item.Owner.load)
 	}
-	return max(at-s.now, s.drained(j.team, ahead)), true
+	return max(at-s.now, s.timeToServe(j.team, ahead)), true
 }
 
-// drained returns the time that the zone needs to serve the load of a team. It
-// assumes that the teams with waiting work share the zone by weight, and that
+// timeToServe returns the time that the zone needs to serve the load of a team.
+// It assumes that the teams with waiting work share the zone by weight, and that
 // no more work arrives.
 //
 // Meanwhile every other team is served in proportion to its weight until it has
 // no waiting work left. The time is what the zone needs for all of this work.
-func (s *Scheduler) drained(t *team, own load) time.Duration {
+func (s *Scheduler) timeToServe(t *team, teamLoad load) time.Duration {
 	total := s.cell.Total()
-	rounds := own.over(total) / float64(t.Weight)
-	sum := own
+	rounds := teamLoad.secondsOn(total) / float64(t.Weight)
+	sum := teamLoad
 	for _, other := range s.teamList {
 		if other == t {
 			continue
 		}
-		if all := other.load.over(total); all > 0 {
+		if all := other.load.secondsOn(total); all > 0 {
 			sum = sum.add(other.load.times(min(1, float64(other.Weight)*rounds/all)))
 		}
 	}
-	return seconds(sum.over(total))
+	return seconds(sum.secondsOn(total))
 }
 
 // expectedWait returns how long new work of a team is expected to wait: behind
@@ -98,11 +98,11 @@
 func (s *Scheduler) expectedWait(t *team, pressing bool) time.Duration {
 	ahead := t.load
 	if pressing {
-		ahead = t.deadlines
+		ahead = t.pressingLoad
 	}
 	share := max(s.queue.Entitled(t.Team), s.queue.Share(t.Team))
-	return seconds(ahead.over(s.cell.Total()) / max(share, leastShare))
+	return seconds(ahead.secondsOn(s.cell.Total()) / max(share, minShare))
 }
 
-// leastShare is the minimum divisor for expected waits, which keeps them finite.
-const leastShare = 1e-6
+// minShare is the minimum divisor for expected waits, which keeps them finite.
+const minShare = 1e-6
--- a/sched/property_test.go
+++ b/sched/property_test.go
@@ -20,7 +20,7 @@
 // team more than its limit, all tasks of a gang start together, no attempt is
 // assigned twice, and no waiting work fits into idle room. At the end every job
 // has ended and no resources or units are reserved.
-func TestPromisesHoldInAnyOrderOfEvents(t *testing.T) {
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{
 			Hold:      rapid.SampledFrom([]Hold{HoldPlanned, HoldDrain, HoldNone}).Draw(t, "hold"),
@@ -35,10 +35,10 @@
 		steps := rapid.IntRange(1, 80).Draw(t, "steps")
 		for range steps {
 			w.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			w.random(t)
-			w.conserves()
+			w.randomEvent(t)
+			w.checkWorkConserving()
 		}
-		w.drain()
+		w.endAll()
 	})
 }
 
@@ -51,8 +51,8 @@
 	{MilliCPU: 8000, MemoryMiB: 8192},
 }
 
-// random applies one random event.
-func (w *world) random(t *rapid.T) {
+// randomEvent applies one random event.
+func (w *world) randomEvent(t *rapid.T) {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	id := worker(pick(len(sizes)))
 	switch kind := pick(16); {
@@ -144,8 +144,8 @@
 	}
 }
 
-// conserves checks that no waiting work could start now.
-func (w *world) conserves() {
+// checkWorkConserving checks that no waiting work could start now.
+func (w *world) checkWorkConserving() {
 	for _, t := range w.s.queue.Ordered() {
 		for class := range w.s.classes(t) {
 			j := class.Head().Owner
@@ -154,7 +154,7 @@
 				tasks = int64(j.spec.Tasks)
 			}
 			limit, limited := w.units.limit[j.spec.Team]
-			if limited && w.units.used[j.spec.Team]+tasks*j.units > limit || j.team.refused <= j.units && w.now < j.team.refusedTil {
+			if limited && w.units.used[j.spec.Team]+tasks*j.units > limit || j.team.refusedUnits <= j.units && w.now < j.team.refusedUntil {
 				continue
 			}
 			if w.openSlots(j.need, tasks) >= tasks {
@@ -177,9 +177,9 @@
 	return slots
 }
 
-// drain ends all attempts until every job has ended, and checks that nothing
+// endAll ends all attempts until every job has ended, and checks that nothing
 // stays reserved.
-func (w *world) drain() {
+func (w *world) endAll() {
 	w.t.Helper()
 	w.step(ServiceRemoved{Service: "s"})
 	for _, id := range slices.Sorted(maps.Keys(w.sizes)) {
@@ -191,13 +191,13 @@
 	for round := 0; len(w.ended) < len(w.jobs) || len(w.running) > 0; round++ {
 		if round == 3000 {
 			w.t.Fatalf("%d of %d jobs ended, %d attempts still run\n%s",
-				len(w.ended), len(w.jobs), len(w.running), w.whyLeft())
+				len(w.ended), len(w.jobs), len(w.running), w.explainUnended())
 		}
 		for len(w.running) > 0 {
 			stopped := w.controls[w.running[0].ID] != ""
 			w.end(0, AttemptEnded{Stopped: stopped, Ran: time.Second})
 		}
-		w.cancelHopeless(round)
+		w.cancelUnplaceable(round)
 		w.pass(time.Second)
 	}
 	for team, used := range w.units.used {
@@ -208,9 +208,9 @@
 	w.checkIdle()
 }
 
-// cancelHopeless cancels, in round 2000, the jobs that can never fit the workers
-// or the limit.
-func (w *world) cancelHopeless(round int) {
+// cancelUnplaceable cancels, in round 2000, the jobs that can never fit the
+// workers or the limit.
+func (w *world) cancelUnplaceable(round int) {
 	if round != 2000 {
 		return
 	}
@@ -242,8 +242,8 @@
 	}
 }
 
-// whyLeft returns the explanations of the jobs that have not ended.
-func (w *world) whyLeft() string {
+// explainUnended returns the explanations of the jobs that have not ended.
+func (w *world) explainUnended() string {
 	var words strings.Builder
 	for seq := uint64(1); seq <= w.seq; seq++ {
 		id := ident.JobID{Zone: "a", Host: "h", Incarnation: 1, Seq: seq}
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -18,9 +18,9 @@
 // fails are therefore not counted, and at most a quarter of the workers is
 // quarantined.
 const (
-	mostSick       = 4           // at most 1/mostSick of the workers is quarantined
-	mostlyFails    = 0.5         // failure rate above which failures are blamed on the work
-	refusalBackoff = time.Second // backoff after the first refusal, doubled each time
+	quarantineDivisor = 4           // at most 1/quarantineDivisor of the workers is quarantined
+	brokenWorkRate    = 0.5         // failure rate above which failures are blamed on the work
+	refusalBackoff    = time.Second // backoff after the first refusal, doubled each time
 )
 
 // judgeWorker updates the failure state of the worker after the end of an
@@ -41,26 +41,26 @@
 		s.quarantine(a.worker, h)
 		return
 	}
-	if a.job != nil && a.job.family.failing > mostlyFails {
+	if a.job != nil && a.job.family.failureRate > brokenWorkRate {
 		return
 	}
-	if h.streak > 0 && h.failedJob == a.id.Job {
+	if h.failureStreak > 0 && h.failedJob == a.id.Job {
 		return
 	}
 	h.failedJob = a.id.Job
-	h.streak++
-	if h.streak >= s.opts.QuarantineAfter && (s.sick+1)*mostSick <= max(s.cell.Len(), mostSick) {
+	h.failureStreak++
+	if h.failureStreak >= s.opts.QuarantineAfter && (s.sick+1)*quarantineDivisor <= max(s.cell.Len(), quarantineDivisor) {
 		s.sick++
 		s.quarantine(a.worker, h)
 	}
 }
 
 func (s *Scheduler) workerSucceeded(ref place.Ref, h *host) {
-	h.streak = 0
-	if h.sentences == 0 {
+	h.failureStreak = 0
+	if h.quarantines == 0 {
 		return
 	}
-	h.sentences = 0
+	h.quarantines = 0
 	s.sick--
 	s.cell.Unbar(ref, place.BarProbing|place.BarQuarantined)
 	s.dirty = true
@@ -69,34 +69,34 @@
 // quarantine bars a worker from new work, each time for twice as long, up to
 // QuarantineMax.
 func (s *Scheduler) quarantine(ref place.Ref, h *host) {
-	delay := doubled(s.opts.QuarantineMin, s.opts.QuarantineMax, h.sentences)
-	h.sentences++
-	h.streak = 0
-	h.returns = s.now + delay
+	delay := doubled(s.opts.QuarantineMin, s.opts.QuarantineMax, h.quarantines)
+	h.quarantines++
+	h.failureStreak = 0
+	h.quarantineEnd = s.now + delay
 	s.cell.Unbar(ref, place.BarProbing)
 	s.cell.Bar(ref, place.BarQuarantined)
-	s.after(timer{at: h.returns, kind: timerWorker, worker: ref, life: h.life})
+	s.after(timer{at: h.quarantineEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
 
-// workerReturns ends a quarantine or the backoff after a refusal. After a
+// unbarExpired ends a quarantine or the backoff after a refusal. After a
 // quarantine the worker is probed: the first task placed on it bars it from
 // further work until that task has ended.
-func (s *Scheduler) workerReturns(ref place.Ref, life uint32) {
+func (s *Scheduler) unbarExpired(ref place.Ref, generation uint32) {
 	h := s.host(ref)
-	if h.life != life {
+	if h.generation != generation {
 		return
 	}
-	if s.now >= h.accepts {
+	if s.now >= h.backoffEnd {
 		s.cell.Unbar(ref, place.BarBackoff)
 	}
-	if s.now >= h.returns {
+	if s.now >= h.quarantineEnd {
 		s.cell.Unbar(ref, place.BarQuarantined)
 	}
 	s.dirty = true
 }
 
 // onTrial reports whether the next task on the worker is a probe.
-func (h *host) onTrial() bool { return h.sentences > 0 }
+func (h *host) onTrial() bool { return h.quarantines > 0 }
 
 // workerRefused bars a worker that refused a start for the backoff time.
 // Otherwise the scheduler would choose the same worker again at once.
@@ -108,7 +108,7 @@
 	h := s.host(ref)
 	delay := doubled(refusalBackoff, s.opts.QuarantineMin, h.refusals)
 	h.refusals++
-	h.accepts = s.now + delay
+	h.backoffEnd = s.now + delay
 	s.cell.Bar(ref, place.BarBackoff)
-	s.after(timer{at: h.accepts, kind: timerWorker, worker: ref, life: h.life})
+	s.after(timer{at: h.backoffEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -12,13 +12,13 @@
 // checkpointed, a few at a time, until the shares are close to fair. Their
 // workers are held for the team until the tasks have ended.
 const (
-	rebalanceEvery = time.Second
-	rebalancePart  = 24   // tasks preempted per round: one, and one more for each rebalancePart workers
-	shareSlack     = 0.01 // tolerated distance from the fair share, as a fraction of the zone
+	rebalanceInterval = time.Second
+	workersPerVictim  = 24   // tasks preempted per round: one, and one more for each workersPerVictim workers
+	shareTolerance    = 0.01 // tolerated distance from the fair share, as a fraction of the zone
 )
 
 // rebalance preempts tasks of teams above their fair share for the team that is
-// furthest below its own. It runs at most once in rebalanceEvery.
+// furthest below its own. It runs at most once in rebalanceInterval.
 func (s *Scheduler) rebalance() {
 	if s.opts.KeepRunning || s.queue.Len() == 0 {
 		return
@@ -27,7 +27,7 @@
 		s.wake(&s.wakes.rebalance, s.rebalanceAt)
 		return
 	}
-	s.rebalanceAt = s.now + rebalanceEvery
+	s.rebalanceAt = s.now + rebalanceInterval
 	demands := s.demands()
 	under := s.mostUnder(demands)
 	if under == nil {
@@ -37,9 +37,9 @@
 	j := under.First(s.unlimited).Head().Owner
 	over := func(a *attempt) bool {
 		d := &demands[a.team.number]
-		return d.Used-d.Fair > shareSlack
+		return d.Used-d.Fair > shareTolerance
 	}
-	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/rebalancePart))
+	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/workersPerVictim))
 	if found == 0 {
 		return
 	}
@@ -65,14 +65,14 @@
 }
 
 // mostUnder returns the team with waiting work that is furthest below its fair
-// share, or nil if none is below it by more than shareSlack.
+// share, or nil if none is below it by more than shareTolerance.
 func (s *Scheduler) mostUnder(demands []queue.Demand) *team {
 	var most *team
-	lacks := shareSlack
+	deficit := shareTolerance
 	for i, t := range s.teamList {
 		d := &demands[i]
-		if d.Wants > d.Used && d.Fair-d.Used > lacks {
-			most, lacks = t, d.Fair-d.Used
+		if d.Wants > d.Used && d.Fair-d.Used > deficit {
+			most, deficit = t, d.Fair-d.Used
 		}
 	}
 	return most
--- a/sched/restore_test.go
+++ b/sched/restore_test.go
@@ -12,7 +12,7 @@
 // A scheduler crashes while the last of several tasks runs. The new scheduler
 // restores the job from a record that names only that task. The restore must
 // return, and each of the earlier tasks must be waiting exactly once.
-func TestRestoreNamesALaterTaskOnly(t *testing.T) {
+func TestRestoreOfALaterTaskKeepsEarlierTasksWaiting(t *testing.T) {
 	s := New(Options{})
 	const tasks = 4
 	job := ident.JobID{Zone: "a", Host: "h", Incarnation: 1, Seq: 1}
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -11,28 +11,28 @@
 // Scheduler schedules the durable work of one availability zone. It is not safe
 // for concurrent use.
 type Scheduler struct {
-	opts   Options
-	now    time.Duration
-	out    []Command
-	cell   *place.Cell
-	placer *place.Placer
-	asked  *place.Placer // for queries, which must not change later placements
-	queue  *queue.Queue[*job]
+	opts     Options
+	now      time.Duration
+	commands []Command
+	cell     *place.Cell
+	placer   *place.Placer
+	asked    *place.Placer // for queries, which must not change later placements
+	queue    *queue.Queue[*job]
 
-	jobs      map[ident.JobID]*job
-	hosts     []host // by place.Ref
-	teams     map[ident.TeamID]*team
-	teamList  []*team // in order of their first event
-	families  families
-	services  map[ident.ServiceID]*service
-	serviceOf map[ident.JobID]*service
-	inOrder   []*service // in order of declaration
-	timers    timers
-	holds     []*hold
+	jobs        map[ident.JobID]*job
+	hosts       []host // by place.Ref
+	teams       map[ident.TeamID]*team
+	teamList    []*team // in order of their first event
+	families    families
+	services    map[ident.ServiceID]*service
+	serviceOf   map[ident.JobID]*service
+	serviceList []*service // in order of declaration
+	timers      timers
+	holds       []*hold
 	prediction
 
 	seq         uint64 // sequence number of the last job that arrived
-	newest      *job   // the only job with new waiting tasks, unless dirty is set
+	changedJob  *job   // the only job with new waiting tasks, unless dirty is set
 	dirty       bool   // a change may allow waiting work to start
 	planAt      timeOf // time from which holds may be planned again
 	planner     planner
@@ -69,22 +69,22 @@
 // returns the resulting commands. The slice is valid until the next call.
 func (s *Scheduler) Step(now time.Duration, ev Event) []Command {
 	s.now = max(s.now, now)
-	clear(s.out)
-	s.out = s.out[:0]
-	s.expire()
+	clear(s.commands)
+	s.commands = s.commands[:0]
+	s.fireDueTimers()
 	s.handle(ev)
-	s.expire() // a job may arrive after its deadline
+	s.fireDueTimers() // a job may arrive after its deadline
 	s.decide()
-	return s.out
+	return s.commands
 }
 
 // decide starts the waiting work that fits. If only one job changed, it tries
 // that job's class alone: the last decision left no other work that fits.
 func (s *Scheduler) decide() {
-	newest := s.newest
-	s.newest = nil
-	if newest != nil && !s.dirty {
-		s.startAlike(newest)
+	changed := s.changedJob
+	s.changedJob = nil
+	if changed != nil && !s.dirty {
+		s.startAlike(changed)
 		s.makeRoom()
 	}
 	if s.dirty {
@@ -92,7 +92,7 @@
 		s.reconcileServices()
 		s.dispatch()
 	}
-	s.newest = nil
+	s.changedJob = nil
 }
 
 func (s *Scheduler) handle(ev Event) {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *Scheduler) emit(c Command) { s.out = append(s.out, c) }
+func (s *Scheduler) emit(c Command) { s.commands = append(s.commands, c) }
 
 // Next returns the time at which a Tick is due. It reports false if no timer is
 // set.
--- a/sched/service.go
+++ b/sched/service.go
@@ -18,37 +18,37 @@
 	need     resource.Vector
 	units    int64
 	replicas map[ident.AttemptID]*attempt
-	order    []*attempt // the replicas, in order of start
+	byStart  []*attempt // the replicas, in order of start
 	spread   *place.Spread
 
-	next     int       // index of the next replica
-	mark     uint64    // position in the log of freed room when no worker fitted; zero if not set
-	failures int       // consecutive failures of replicas
-	notUntil timeOf    // end of the backoff after a failure
-	last     place.Ref // worker of the last failure, or place.None
-	removed  bool
+	next         int       // index of the next replica
+	noRoomMark   uint64    // position in the log of freed room when no worker fitted; zero if not set
+	failures     int       // consecutive failures of replicas
+	backoffEnd   timeOf    // end of the backoff after a failure
+	lastFailedOn place.Ref // worker of the last failure, or place.None
+	removed      bool
 }
 
 func (s *Scheduler) serviceDeclared(ev ServiceDeclared) {
 	svc, known := s.services[ev.Service]
 	if !known {
 		svc = &service{
-			id:       ev.Service,
-			job:      ev.Job,
-			replicas: map[ident.AttemptID]*attempt{},
-			spread:   place.NewSpread(),
-			last:     place.None,
+			id:           ev.Service,
+			job:          ev.Job,
+			replicas:     map[ident.AttemptID]*attempt{},
+			spread:       place.NewSpread(),
+			lastFailedOn: place.None,
 		}
 		s.services[ev.Service] = svc
 		s.serviceOf[ev.Job] = svc
-		s.inOrder = append(s.inOrder, svc)
+		s.serviceList = append(s.serviceList, svc)
 	}
 	svc.removed = false
 	svc.team = s.team(ev.Team)
 	svc.wanted = max(ev.Replicas, 0)
 	svc.need = place.Compute(ev.Need)
 	svc.units = resource.LimitUnits(ev.Need)
-	svc.mark = 0
+	svc.noRoomMark = 0
 	s.dirty = true
 }
 
@@ -102,7 +102,7 @@
 	a.expected = math.MaxInt64
 	svc := a.service
 	svc.replicas[a.id] = a
-	svc.order = append(svc.order, a)
+	svc.byStart = append(svc.byStart, a)
 	svc.spread.Add(s.cell, ref, 1)
 }
 
@@ -111,9 +111,9 @@
 func (s *Scheduler) replicaEnded(a *attempt, e ending) {
 	svc := a.service
 	delete(svc.replicas, a.id)
-	for i, other := range svc.order {
+	for i, other := range svc.byStart {
 		if other == a {
-			svc.order = append(svc.order[:i], svc.order[i+1:]...)
+			svc.byStart = append(svc.byStart[:i], svc.byStart[i+1:]...)
 			break
 		}
 	}
@@ -121,32 +121,32 @@
 	s.dirty = true
 	switch {
 	case e.refused && e.pause:
-		svc.notUntil = s.now + s.opts.BackoffMin
-		s.after(timer{at: svc.notUntil, kind: timerService, service: svc})
+		svc.backoffEnd = s.now + s.opts.BackoffMin
+		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	case a.stopping != "" || e.lost || e.refused:
 	case a.started && s.now-a.since >= s.opts.BackoffMax:
 		svc.failures = 0
 	default:
-		svc.last = a.worker
-		svc.notUntil = s.now + doubled(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
+		svc.lastFailedOn = a.worker
+		svc.backoffEnd = s.now + doubled(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
 		svc.failures++
-		s.after(timer{at: svc.notUntil, kind: timerService, service: svc})
+		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	}
-	if svc.removed && len(svc.order) == 0 {
-		s.forgetService(svc)
+	if svc.removed && len(svc.byStart) == 0 {
+		s.dropService(svc)
 	}
 }
 
-func (s *Scheduler) forgetService(svc *service) {
+func (s *Scheduler) dropService(svc *service) {
 	delete(s.services, svc.id)
 	for job, other := range s.serviceOf {
 		if other == svc {
 			delete(s.serviceOf, job)
 		}
 	}
-	for i, other := range s.inOrder {
+	for i, other := range s.serviceList {
 		if other == svc {
-			s.inOrder = append(s.inOrder[:i], s.inOrder[i+1:]...)
+			s.serviceList = append(s.serviceList[:i], s.serviceList[i+1:]...)
 			return
 		}
 	}
@@ -154,20 +154,20 @@
 
 // reconcileServices brings every service to its wanted number of replicas.
 func (s *Scheduler) reconcileServices() {
-	for i := 0; i < len(s.inOrder); {
-		svc := s.inOrder[i]
+	for i := 0; i < len(s.serviceList); {
+		svc := s.serviceList[i]
 		s.reconcile(svc)
-		if svc.removed && len(svc.order) == 0 {
-			s.forgetService(svc)
+		if svc.removed && len(svc.byStart) == 0 {
+			s.dropService(svc)
 			continue
 		}
 		i++
 	}
 }
 
-// staying reports whether a replica counts toward the wanted number: neither the
+// counted reports whether a replica counts toward the wanted number: neither the
 // replica is being stopped nor its worker removed.
-func (s *Scheduler) staying(a *attempt) bool {
+func (s *Scheduler) counted(a *attempt) bool {
 	return a.stopping == "" && s.cell.Worker(a.worker).Bars&place.BarLeaving == 0
 }
 
@@ -175,13 +175,13 @@
 // leaving worker is stopped only after its replacement has started, so a planned
 // removal never takes the service below its wanted number.
 func (s *Scheduler) reconcile(svc *service) {
-	stay, up, leaving := 0, 0, 0
-	for _, a := range svc.order {
+	counted, up, leaving := 0, 0, 0
+	for _, a := range svc.byStart {
 		switch {
 		case a.stopping != "":
 			continue
-		case s.staying(a):
-			stay++
+		case s.counted(a):
+			counted++
 		default:
 			leaving++
 		}
@@ -189,35 +189,35 @@
 			up++
 		}
 	}
-	for stay < svc.wanted && s.startReplica(svc) {
-		stay++
+	for counted < svc.wanted && s.startReplica(svc) {
+		counted++
 	}
-	if stay < svc.wanted {
-		s.displaceForReplicas(svc, svc.wanted-stay)
+	if counted < svc.wanted {
+		s.displaceForReplicas(svc, svc.wanted-counted)
 	}
 	for ; leaving > 0 && up > svc.wanted; leaving-- {
 		if s.stopLeaving(svc) {
 			up--
 		}
 	}
-	for ; stay > svc.wanted; stay-- {
-		s.stopCrowded(svc)
+	for ; counted > svc.wanted; counted-- {
+		s.stopSurplus(svc)
 	}
 }
 
 func (s *Scheduler) startReplica(svc *service) bool {
-	if s.now < svc.notUntil || s.blocked(svc.team, svc.units) {
+	if s.now < svc.backoffEnd || s.blocked(svc.team, svc.units) {
 		return false
 	}
-	if svc.mark != 0 && !s.cell.MayFitSince(svc.mark, &svc.need) {
+	if svc.noRoomMark != 0 && !s.cell.MayFitSince(svc.noRoomMark, &svc.need) {
 		return false
 	}
-	ref := s.placer.Spread(svc.need, svc.spread, svc.last)
+	ref := s.placer.Spread(svc.need, svc.spread, svc.lastFailedOn)
 	if ref == place.None {
 		ref = s.emptied(svc)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, svc.need) {
-		svc.mark = s.cell.Freed()
+		svc.noRoomMark = s.cell.Freed()
 		return false
 	}
 	if !s.tryUse(svc.team, svc.units, s.now) {
@@ -249,7 +249,7 @@
 // Callers of a service wait for an answer, and a zone full of batch work may
 // have no room for hours.
 func (s *Scheduler) displaceForReplicas(svc *service, missing int) {
-	if s.opts.FirstFit || s.now < s.displaceAt || s.now < svc.notUntil || s.blocked(svc.team, svc.units) {
+	if s.opts.FirstFit || s.now < s.displaceAt || s.now < svc.backoffEnd || s.blocked(svc.team, svc.units) {
 		return
 	}
 	for _, e := range s.making {
@@ -287,8 +287,8 @@
 // stopLeaving stops one replica whose worker is being removed. It reports
 // whether that replica had started.
 func (s *Scheduler) stopLeaving(svc *service) bool {
-	for _, a := range svc.order {
-		if a.stopping == "" && !s.staying(a) {
+	for _, a := range svc.byStart {
+		if a.stopping == "" && !s.counted(a) {
 			s.stop(a, ports.ControlStop)
 			return a.started
 		}
@@ -296,18 +296,18 @@
 	return false
 }
 
-// stopCrowded stops one surplus replica: the newest that has not started or,
+// stopSurplus stops one surplus replica: the newest that has not started or,
 // if all have, the newest in the rack with the most replicas.
-func (s *Scheduler) stopCrowded(svc *service) {
+func (s *Scheduler) stopSurplus(svc *service) {
 	var worst *attempt
-	crowd := func(a *attempt) int32 {
+	replicasInRack := func(a *attempt) int32 {
 		if !a.started {
 			return math.MaxInt32
 		}
 		return svc.spread.InRack(s.cell.Worker(a.worker).Rack)
 	}
-	for _, a := range svc.order {
-		if s.staying(a) && (worst == nil || crowd(a) >= crowd(worst)) {
+	for _, a := range svc.byStart {
+		if s.counted(a) && (worst == nil || replicasInRack(a) >= replicasInRack(worst)) {
 			worst = a
 		}
 	}
--- a/sched/team.go
+++ b/sched/team.go
@@ -12,23 +12,23 @@
 // team is the state that the scheduler keeps for a team.
 type team struct {
 	*queue.Team[*job]
-	number     int    // index in Scheduler.teamList
-	limit      int64  // upper limit in units over the fleet; zero for none
-	refused    int64  // units refused last; math.MaxInt64 if none were
-	refusedTil timeOf // end of the refusal
-	retrying   bool   // a timer for a retry after the refusal is set
-	load       load   // of the waiting tasks
-	deadlines  load   // of the waiting tasks of pressing jobs: urgent or with a deadline
-	headJob    *job   // head of the team's queue when last planned
-	headSince  timeOf // time from which headJob is at the head
-	unitsInUse int64
-	stopping   resource.Vector // needs of the attempts being stopped
+	number       int    // index in Scheduler.teamList
+	limit        int64  // upper limit in units over the fleet; zero for none
+	refusedUnits int64  // units refused last; math.MaxInt64 if none were
+	refusedUntil timeOf // end of the refusal
+	retrySet     bool   // a timer for a retry after the refusal is set
+	load         load   // of the waiting tasks
+	pressingLoad load   // of the waiting tasks of pressing jobs: urgent or with a deadline
+	headJob      *job   // head of the team's queue when last planned
+	headSince    timeOf // time from which headJob is at the head
+	unitsInUse   int64
+	stopping     resource.Vector // needs of the attempts being stopped
 }
 
 func (s *Scheduler) team(id ident.TeamID) *team {
 	t, ok := s.teams[id]
 	if !ok {
-		t = &team{Team: s.queue.Team(id), number: len(s.teamList), refused: math.MaxInt64}
+		t = &team{Team: s.queue.Team(id), number: len(s.teamList), refusedUnits: math.MaxInt64}
 		s.teams[id] = t
 		s.teamList = append(s.teamList, t)
 	}
@@ -54,7 +54,7 @@
 
 func (s *Scheduler) limitChanged(id ident.TeamID) {
 	if t, ok := s.teams[id]; ok {
-		t.refused = math.MaxInt64
+		t.refusedUnits = math.MaxInt64
 		s.dirty = true
 	}
 }
@@ -73,27 +73,27 @@
 		t.unitsInUse += units
 		return true
 	}
-	t.refused = units
+	t.refusedUnits = units
 	if s.now >= due && s.now < due+s.opts.Patience && !t.overLimit(units) {
-		t.refused = 1
+		t.refusedUnits = 1
 	}
-	t.refusedTil = s.now + refusalFor
-	if !t.retrying {
-		t.retrying = true
-		s.after(timer{at: t.refusedTil, kind: timerLimit, team: t})
+	t.refusedUntil = s.now + refusalFor
+	if !t.retrySet {
+		t.retrySet = true
+		s.after(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 	}
 	s.emit(Want{Team: t.ID, Units: units})
 	return false
 }
 
-// refusalPassed retries after a refusal. If a later refusal is still in force,
+// retryRefused retries after a refusal. If a later refusal is still in force,
 // it sets the timer again.
-func (s *Scheduler) refusalPassed(t *team) {
-	if s.now < t.refusedTil {
-		s.after(timer{at: t.refusedTil, kind: timerLimit, team: t})
+func (s *Scheduler) retryRefused(t *team) {
+	if s.now < t.refusedUntil {
+		s.after(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 		return
 	}
-	t.retrying = false
+	t.retrySet = false
 	s.dirty = true
 }
 
@@ -103,13 +103,13 @@
 
 // blocked reports whether a refusal in force covers work that needs the units.
 func (s *Scheduler) blocked(t *team, units int64) bool {
-	return units >= t.refused && s.now < t.refusedTil
+	return units >= t.refusedUnits && s.now < t.refusedUntil
 }
 
 // doneUnits returns limit units and clears the refusal.
 func (s *Scheduler) doneUnits(t *team, units int64) {
 	s.opts.Limits.Done(t.ID, units)
 	t.unitsInUse -= units
-	t.refused = math.MaxInt64
+	t.refusedUnits = math.MaxInt64
 	s.dirty = true
 }
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -26,25 +26,25 @@
 // timer is an action at a point in time. The action checks its condition again
 // when it fires, because the job, hold or attempt may have ended by then.
 type timer struct {
-	at      timeOf
-	seq     uint64
-	kind    timerKind
-	index   int32
-	worker  place.Ref
-	life    uint32 // of the worker's place.Ref, which may have been reused
-	job     *job
-	hold    *hold
-	service *service
-	team    *team
-	attempt *attempt
+	at         timeOf
+	seq        uint64
+	kind       timerKind
+	index      int32
+	worker     place.Ref
+	generation uint32 // of the worker's place.Ref, which may have been reused
+	job        *job
+	hold       *hold
+	service    *service
+	team       *team
+	attempt    *attempt
 }
 
 // timers is a heap of timers. Timers of ended jobs are removed only when they
 // are more than half of the heap, which keeps mass cancellations cheap.
 type timers struct {
-	heap timerHeap
-	seq  uint64
-	dead int // timers of ended jobs
+	heap        timerHeap
+	seq         uint64
+	ofEndedJobs int // timers of ended jobs
 }
 
 type timerHeap []timer
@@ -86,33 +86,33 @@
 	s.after(timer{at: at, kind: timerWake})
 }
 
-// forgetTimers counts the timers of an ended job, and removes the timers of all
+// pruneTimers counts the timers of an ended job, and removes the timers of all
 // ended jobs once they are more than half of the heap.
-func (s *Scheduler) forgetTimers(j *job) {
-	s.timers.dead += j.timers
+func (s *Scheduler) pruneTimers(j *job) {
+	s.timers.ofEndedJobs += j.timers
 	h := s.timers.heap
-	if 2*s.timers.dead <= len(h) {
+	if 2*s.timers.ofEndedJobs <= len(h) {
 		return
 	}
 	kept := h[:0]
 	for _, t := range h {
-		if t.job == nil || !t.job.over {
+		if t.job == nil || !t.job.ended {
 			kept = append(kept, t)
 		}
 	}
 	clear(h[len(kept):])
 	s.timers.heap = kept
-	s.timers.dead = 0
+	s.timers.ofEndedJobs = 0
 	heap.Init(&s.timers.heap)
 }
 
-// expire fires all timers that are due.
-func (s *Scheduler) expire() {
+// fireDueTimers fires all timers that are due.
+func (s *Scheduler) fireDueTimers() {
 	for len(s.timers.heap) > 0 && s.timers.heap[0].at <= s.now {
 		t := heap.Pop(&s.timers.heap).(timer)
 		if t.job != nil {
-			if t.job.over {
-				s.timers.dead--
+			if t.job.ended {
+				s.timers.ofEndedJobs--
 				continue
 			}
 			t.job.timers--
@@ -128,13 +128,13 @@
 	case timerBackoff:
 		s.backoffPassed(t.job, int(t.index))
 	case timerWorker:
-		s.workerReturns(t.worker, t.life)
+		s.unbarExpired(t.worker, t.generation)
 	case timerHold:
 		s.holdPassed(t.hold)
 	case timerControl:
 		s.repeatControl(t.attempt)
 	case timerLimit:
-		s.refusalPassed(t.team)
+		s.retryRefused(t.team)
 	case timerService, timerWake:
 		s.dirty = true
 	}
--- a/sched/words.go
+++ b/sched/words.go
@@ -23,10 +23,10 @@
 		line("last failure: %s", e.LastFailure)
 	}
 	for _, p := range e.Placements {
-		line("%s", p.words())
+		line("%s", p.text())
 	}
 	if e.Waiting > 0 {
-		e.wordsOfWait(line)
+		e.writeWait(line)
 	}
 	return b.String()
 }
@@ -35,7 +35,7 @@
 	return max(e.Tasks-e.Done-e.Waiting-e.Delayed, 0)
 }
 
-func (e Explanation) wordsOfWait(line func(string, ...any)) {
+func (e Explanation) writeWait(line func(string, ...any)) {
 	line("order: %d jobs of the team come earlier; the team uses %.1f%% of the zone and may expect %.1f%% while it is full",
 		e.Ahead, percent*e.Share, percent*e.Entitled)
 	line("limit: needs %d units to start; the team uses %d here", e.LimitUnits, e.UnitsInUse)
@@ -46,14 +46,14 @@
 	if e.Held > 0 {
 		line("%d workers are held for it", e.Held)
 	}
-	line("%s", e.cause())
-	line("%s", e.start())
+	line("%s", e.waitReason())
+	line("%s", e.predictedStart())
 }
 
 const percent = 100
 
-// cause returns the text on why the job does not start now.
-func (e Explanation) cause() string {
+// waitReason returns the text on why the job does not start now.
+func (e Explanation) waitReason() string {
 	switch {
 	case e.LimitBlocks:
 		return "it waits for units of the team's upper limit"
@@ -66,7 +66,7 @@
 	}
 }
 
-func (e Explanation) start() string {
+func (e Explanation) predictedStart() string {
 	switch {
 	case !e.Predicted:
 		return "predicted start: not known; the workers that are here now will not have room for it"
@@ -78,7 +78,7 @@
 	}
 }
 
-func (p Placement) words() string {
+func (p Placement) text() string {
 	text := fmt.Sprintf("attempt %s runs on %s (rack %s) for %s, expected to end in %s; the worker has %s free of %s",
 		p.ID, p.Worker, p.Rack, round(p.Ran), round(p.EndsIn), p.Free, p.Size)
 	if p.Stopping {
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -12,14 +12,14 @@
 type host struct {
 	attempts     []*attempt
 	displaceable resource.Vector // needs of the attempts that may be preempted
-	life         uint32          // number of earlier workers with this place.Ref
+	generation   uint32          // number of earlier workers with this place.Ref
 
-	streak    int         // consecutive failures of different jobs
-	failedJob ident.JobID // job of the last counted failure
-	sentences int         // quarantines since the last success
-	returns   timeOf      // end of the quarantine
-	refusals  int         // refused starts since the last attempt that succeeded or failed
-	accepts   timeOf      // end of the backoff after a refused start
+	failureStreak int         // consecutive failures of different jobs
+	failedJob     ident.JobID // job of the last counted failure
+	quarantines   int         // quarantines since the last success
+	quarantineEnd timeOf      // end of the quarantine
+	refusals      int         // refused starts since the last attempt that succeeded or failed
+	backoffEnd    timeOf      // end of the backoff after a refused start
 }
 
 func (s *Scheduler) host(ref place.Ref) *host { return &s.hosts[ref] }
@@ -78,11 +78,11 @@
 		s.release(a)
 		s.conclude(a, ending{lost: true, reason: reasonLost})
 	}
-	if h.sentences > 0 {
+	if h.quarantines > 0 {
 		s.sick--
 	}
 	s.cell.Remove(ref)
-	s.hosts[ref] = host{life: h.life + 1}
+	s.hosts[ref] = host{generation: h.generation + 1}
 	s.queue.SetTotal(s.cell.Total())
 	s.dirty = true
 }
