--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -10,7 +10,8 @@
 )
 
 // attempt is an assigned attempt of a task, or a replica of a service, that
-// has not ended. It holds room, units and a part of its team's share.
+// has not ended. It occupies worker capacity and limit units and counts toward
+// the share of its team.
 type attempt struct {
 	id      ident.AttemptID
 	job     *job // nil for a replica
@@ -19,30 +20,30 @@
 	need    resource.Vector
 	units   int64
 
-	worker   place.Ref
-	at       int // among the attempts of the worker
-	since    timeOf
-	started  bool
-	expected time.Duration // run time
-	excess   int64         // milli-processors measured above the need
-	stopping ports.Control
-	stopAt   timeOf // when the first control was sent
-	yields   bool   // it was displaced for urgent work or a replica of a service
-	over     bool
+	worker      place.Ref
+	workerIndex int    // index in host.attempts
+	since       timeOf // start of the run; before started is set, time of the assignment
+	started     bool
+	expected    time.Duration // run time
+	excessCPU   int64         // measured milli-cpu above the need
+	stopping    ports.Control
+	stopAt      timeOf // time of the first control
+	requeueLast bool   // displaced for urgent work or a service replica
+	ended       bool
 }
 
-// ending is how an attempt ended.
+// ending is the result of an attempt.
 type ending struct {
 	refused bool // it did not run
-	pause   bool // with refused: not for a reason that another worker avoids
+	backoff bool // with refused: the worker is not the cause, so the retry waits for a backoff
 	failed  bool
 	stopped bool
-	lost    bool // how far it ran is not known
+	lost    bool // unknown whether and how far it ran
 	reason  string
 	ran     time.Duration
 }
 
-// newAttempt makes the record of the latest attempt of a task.
+// newAttempt creates the open attempt of a task.
 func (s *Scheduler) newAttempt(j *job, index int) *attempt {
 	t := &j.tasks[index]
 	a := &attempt{
@@ -58,11 +59,12 @@
 	return a
 }
 
-// begin counts an attempt whose room and units were taken.
+// begin adds an attempt to its worker, team and job. Its capacity and units are
+// already reserved.
 func (s *Scheduler) begin(a *attempt, ref place.Ref) {
 	h := s.host(ref)
 	a.worker = ref
-	a.at = len(h.attempts)
+	a.workerIndex = len(h.attempts)
 	h.attempts = append(h.attempts, a)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Add(a.need)
@@ -73,22 +75,23 @@
 	}
 }
 
-// release gives back what an attempt holds.
+// release removes an attempt from its worker, team and job and frees its
+// capacity and units.
 func (s *Scheduler) release(a *attempt) {
-	a.over = true
+	a.ended = true
 	h := s.host(a.worker)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
 	last := h.attempts[len(h.attempts)-1]
-	h.attempts[a.at] = last
-	last.at = a.at
+	h.attempts[a.workerIndex] = last
+	last.workerIndex = a.workerIndex
 	h.attempts[len(h.attempts)-1] = nil
 	h.attempts = h.attempts[:len(h.attempts)-1]
 	if a.stopping != "" {
 		a.team.stopping = a.team.stopping.Sub(a.need)
 	}
-	s.cell.Measured(a.worker, -a.excess)
+	s.cell.Measured(a.worker, -a.excessCPU)
 	s.cell.Release(a.worker, a.need)
 	s.queue.Release(a.team.Team, a.need)
 	s.doneUnits(a.team, a.units)
@@ -97,7 +100,7 @@
 	}
 }
 
-// find returns the open attempt with the identifier, or nil.
+// find returns the open attempt with the ID, or nil.
 func (s *Scheduler) find(id ident.AttemptID) *attempt {
 	if j, ok := s.jobs[id.Job]; ok {
 		if id.Index < 0 || id.Index >= len(j.tasks) {
@@ -133,7 +136,7 @@
 	}
 	s.release(a)
 	s.workerRefused(a.worker, ev.Reason)
-	s.conclude(a, ending{refused: true, pause: ev.Reason == ""})
+	s.conclude(a, ending{refused: true, backoff: ev.Reason == ""})
 }
 
 func (s *Scheduler) attemptEnded(ev AttemptEnded) {
@@ -152,7 +155,8 @@
 	})
 }
 
-// conclude decides what follows from the end of an attempt that was released.
+// conclude updates the job or service of an attempt that ended: the task is
+// done, retried or failed. The attempt must be released before.
 func (s *Scheduler) conclude(a *attempt, e ending) {
 	if a.service != nil {
 		s.replicaEnded(a, e)
@@ -168,8 +172,8 @@
 	switch {
 	case j.gang():
 		s.concludeGang(a, e)
-	case e.refused && e.pause:
-		s.tryLater(j, a.id.Index, s.opts.BackoffMin)
+	case e.refused && e.backoff:
+		s.requeueAfter(j, a.id.Index, s.opts.BackoffMin)
 	case e.refused:
 		j.ready = append(j.ready, int32(a.id.Index))
 	case !e.failed && !e.stopped && !e.lost:
@@ -186,8 +190,8 @@
 	s.settle(j)
 }
 
-// concludeClosed counts an attempt that ended after its job was cancelled or
-// given up.
+// concludeClosed counts an unsuccessful attempt of a job that was cancelled or
+// has failed.
 func (s *Scheduler) concludeClosed(j *job, e ending) {
 	if e.stopped || e.lost {
 		j.uncertain = true
@@ -195,41 +199,42 @@
 	j.failed++
 }
 
-// taskFailed tries a task again after a back-off, or gives it up.
+// taskFailed retries a task after a backoff, or marks it as failed.
 //
-// A task that is not idempotent is never tried again: one that was stopped or
-// lost may have done part of its work, and a second attempt would do that part
-// twice (a doubled approval). Its outcome is then unknown, not "not run".
+// A non-idempotent task is never retried: a stopped or lost attempt may have
+// done part of its work, and a second attempt would repeat that part (for
+// example a duplicate approval). The outcome is then unknown, not "not run".
 func (s *Scheduler) taskFailed(a *attempt, e ending) {
 	j := a.job
 	t := &j.tasks[a.id.Index]
 	t.failures++
 	t.last = a.worker
-	j.reason = e.words()
-	if int(t.failures) < s.maxAttempts(j) && !s.ranIntoLimit(j, e) {
-		s.tryLater(j, a.id.Index, doubled(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
+	j.reason = e.reasonText()
+	if int(t.failures) < s.maxAttempts(j) && !s.hitTimeLimit(j, e) {
+		s.requeueAfter(j, a.id.Index, exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, int(t.failures)-1))
 		return
 	}
 	j.failed++
 	if e.stopped || e.lost {
 		j.uncertain = true
 	}
-	if j.failed >= failedMost && j.failed > j.done {
+	if j.failed >= maxFailedTasks && j.failed > j.done {
 		j.closed = true
 	}
 }
 
-// failedMost is the number of tasks of a job that fail for good before the
-// rest is given up, unless more have succeeded.
-const failedMost = 3
+// maxFailedTasks is the number of finally failed tasks at which a job is closed
+// and its other tasks are not started, unless at least as many have succeeded.
+const maxFailedTasks = 3
 
-// ranIntoLimit reports whether the worker stopped the task at its time limit,
-// where another attempt would end in the same way.
-func (s *Scheduler) ranIntoLimit(j *job, e ending) bool {
+// hitTimeLimit reports whether the task was stopped at its time limit. A retry
+// would end in the same way.
+func (s *Scheduler) hitTimeLimit(j *job, e ending) bool {
 	return j.spec.Limit > 0 && e.stopped && e.ran >= j.spec.Limit
 }
 
-func (e ending) words() string {
+// reasonText returns the reason of an unsuccessful end.
+func (e ending) reasonText() string {
 	switch {
 	case e.reason != "":
 		return e.reason
@@ -242,12 +247,13 @@
 	}
 }
 
-// tryLater makes a task of a job, or a gang as a whole, wait out a back-off.
-func (s *Scheduler) tryLater(j *job, index int, delay time.Duration) {
+// requeueAfter queues a task, or a whole gang, again after the delay.
+func (s *Scheduler) requeueAfter(j *job, index int, delay time.Duration) {
 	j.delayed++
 	s.after(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
 }
 
+// backoffPassed queues a task, or a whole gang, at the end of its backoff.
 func (s *Scheduler) backoffPassed(j *job, index int) {
 	j.delayed--
 	switch {
@@ -261,7 +267,8 @@
 	s.requeue(j)
 }
 
-// stop sends a control that ends an attempt, once.
+// stop sends a control that ends an attempt. It does nothing if the same
+// control, or ControlStop, was sent before.
 func (s *Scheduler) stop(a *attempt, control ports.Control) {
 	if a.stopping == control || a.stopping == ports.ControlStop {
 		return
@@ -273,32 +280,32 @@
 	if a.stopping == "" {
 		a.team.stopping = a.team.stopping.Add(a.need)
 	}
-	again := a.stopping != ""
+	alreadyStopping := a.stopping != ""
 	a.stopping = control
 	s.sendControl(a)
-	if !again {
+	if !alreadyStopping {
 		a.stopAt = s.now
-		s.after(timer{at: s.now + controlEvery, kind: timerControl, attempt: a})
+		s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 	}
 }
 
-// controlEvery is the time after which a control is sent again.
-const controlEvery = 5 * time.Second
+// controlResendInterval is the interval at which a control is resent.
+const controlResendInterval = 5 * time.Second
 
 func (s *Scheduler) sendControl(a *attempt) {
 	s.emit(Control{ID: a.id, Worker: s.cell.Worker(a.worker).ID, Control: a.stopping})
 }
 
-// repeatControl sends a control again until the attempt has ended. A control
-// can be lost on its way, or meet a worker whose lease is not held at the
-// moment; a cancelled job would then run on, and its caller never get an
-// answer. Controls are idempotent, so one more does no harm.
+// repeatControl resends a control until the attempt has ended. A control can be
+// lost in transit, or arrive while the lease of the worker is not held. Without
+// a resend, a cancelled job would keep running and its caller would never get
+// an answer. Controls are idempotent, so a duplicate has no effect.
 func (s *Scheduler) repeatControl(a *attempt) {
-	if a.over {
+	if a.ended {
 		return
 	}
 	s.sendControl(a)
-	s.after(timer{at: s.now + controlEvery, kind: timerControl, attempt: a})
+	s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 }
 
 func (s *Scheduler) usageReported(ev UsageReported) {
@@ -307,8 +314,8 @@
 		return
 	}
 	excess := max(ev.Usage.MilliCPU-a.need.MilliCPU, 0)
-	s.cell.Measured(a.worker, excess-a.excess)
-	a.excess = excess
+	s.cell.Measured(a.worker, excess-a.excessCPU)
+	a.excessCPU = excess
 	if ev.Ran > 0 {
 		a.since = s.now - ev.Ran
 	}
--- a/sched/job.go
+++ b/sched/job.go
@@ -98,7 +98,7 @@
 
 // waitDisplaced queues the task of a preempted attempt for another attempt.
 func (j *job) waitDisplaced(a *attempt) {
-	if a.yields {
+	if a.requeueLast {
 		j.preempted = append(j.preempted, int32(a.id.Index))
 		return
 	}
@@ -168,7 +168,7 @@
 		}
 		s.queue.Push(j.team.Team, j.shape(), &j.item)
 	}
-	if j.waiting() == 0 || !s.open(j.item.Class()) {
+	if j.waiting() == 0 || !s.mayStart(j.item.Class()) {
 		return
 	}
 	if s.changedJob == nil {
--- a/sched/plan.go
+++ b/sched/plan.go
@@ -53,7 +53,7 @@
 // at least a quarter of its run time so far, which covers attempts that run
 // longer than expected.
 func (s *Scheduler) expectedEnd(a *attempt) timeOf {
-	if a.stopping != "" && s.now < a.stopAt+emptyMost {
+	if a.stopping != "" && s.now < a.stopAt+maxDisplacementHold {
 		return s.now + stopTime
 	}
 	ran := s.now - a.since
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -28,7 +28,7 @@
 // predictArrival predicts the start of a job that has to wait. It does so for a
 // sample of the jobs, to measure the error of predictions.
 func (s *Scheduler) predictArrival(j *job) {
-	if s.opts.FirstFit || s.now < s.nextSampleAt || j.ended || s.open(j.item.Class()) {
+	if s.opts.FirstFit || s.now < s.nextSampleAt || j.ended || s.mayStart(j.item.Class()) {
 		return
 	}
 	s.nextSampleAt = s.now + sampleInterval
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -69,7 +69,7 @@
 // quarantine bars a worker from new work, each time for twice as long, up to
 // QuarantineMax.
 func (s *Scheduler) quarantine(ref place.Ref, h *host) {
-	delay := doubled(s.opts.QuarantineMin, s.opts.QuarantineMax, h.quarantines)
+	delay := exponentialBackoff(s.opts.QuarantineMin, s.opts.QuarantineMax, h.quarantines)
 	h.quarantines++
 	h.failureStreak = 0
 	h.quarantineEnd = s.now + delay
@@ -106,7 +106,7 @@
 		return
 	}
 	h := s.host(ref)
-	delay := doubled(refusalBackoff, s.opts.QuarantineMin, h.refusals)
+	delay := exponentialBackoff(refusalBackoff, s.opts.QuarantineMin, h.refusals)
 	h.refusals++
 	h.backoffEnd = s.now + delay
 	s.cell.Bar(ref, place.BarBackoff)
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -36,7 +36,7 @@
 	dirty       bool   // a change may allow waiting work to start
 	planAt      timeOf // time from which holds may be planned again
 	planner     planner
-	making      []emptying
+	making      []displacement
 	displaceAt  timeOf                                           // time from which tasks may be preempted again
 	rebalanceAt timeOf                                           // time from which shares may be rebalanced again
 	wakes       struct{ plan, displace, rebalance, look timeOf } // times of the last wake-ups set
@@ -61,7 +61,7 @@
 		services:  map[ident.ServiceID]*service{},
 		serviceOf: map[ident.JobID]*service{},
 	}
-	s.openFunc = s.open
+	s.openFunc = s.mayStart
 	return s
 }
 
@@ -84,8 +84,8 @@
 	changed := s.changedJob
 	s.changedJob = nil
 	if changed != nil && !s.dirty {
-		s.startAlike(changed)
-		s.makeRoom()
+		s.startSameClass(changed)
+		s.freeCapacity()
 	}
 	if s.dirty {
 		s.dirty = false
--- a/sched/service.go
+++ b/sched/service.go
@@ -120,7 +120,7 @@
 	svc.spread.Add(s.cell, a.worker, -1)
 	s.dirty = true
 	switch {
-	case e.refused && e.pause:
+	case e.refused && e.backoff:
 		svc.backoffEnd = s.now + s.opts.BackoffMin
 		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	case a.stopping != "" || e.lost || e.refused:
@@ -128,7 +128,7 @@
 		svc.failures = 0
 	default:
 		svc.lastFailedOn = a.worker
-		svc.backoffEnd = s.now + doubled(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
+		svc.backoffEnd = s.now + exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
 		svc.failures++
 		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	}
@@ -269,7 +269,7 @@
 	for _, ref := range workers {
 		s.checkpoint(ref, svc.need, nil)
 	}
-	s.empty(workers, emptying{service: svc})
+	s.holdDisplacing(workers, displacement{service: svc})
 }
 
 // emptied returns a worker that was emptied for the service and has room for a
