--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *Scheduler) workerSucceeded(ref place.Ref, h *host) {
+func (s *Scheduler) workerSucceeded(ref place.Ref, h *workerState) {
 	h.failureStreak = 0
 	if h.quarantines == 0 {
 		return
@@ -68,7 +68,7 @@
 
 // quarantine bars a worker from new work, each time for twice as long, up to
 // QuarantineMax.
-func (s *Scheduler) quarantine(ref place.Ref, h *host) {
+func (s *Scheduler) quarantine(ref place.Ref, h *workerState) {
 	delay := exponentialBackoff(s.opts.QuarantineMin, s.opts.QuarantineMax, h.quarantines)
 	h.quarantines++
 	h.failureStreak = 0
@@ -96,7 +96,7 @@
 }
 
 // onTrial reports whether the next task on the worker is a probe.
-func (h *host) onTrial() bool { return h.quarantines > 0 }
+func (h *workerState) onTrial() bool { return h.quarantines > 0 }
 
 // workerRefused bars a worker that refused a start for the backoff time.
 // Otherwise the scheduler would choose the same worker again at once.
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -7,9 +7,9 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// host is the state that the scheduler keeps for a worker, besides its resources
+// workerState is the state that the scheduler keeps for a worker, besides its resources
 // in place.Cell.
-type host struct {
+type workerState struct {
 	attempts     []*attempt
 	displaceable resource.Vector // needs of the attempts that may be preempted
 	generation   uint32          // number of earlier workers with this place.Ref
@@ -22,12 +22,12 @@
 	backoffEnd    timeOf      // end of the backoff after a refused start
 }
 
-func (s *Scheduler) host(ref place.Ref) *host { return &s.hosts[ref] }
+func (s *Scheduler) host(ref place.Ref) *workerState { return &s.hosts[ref] }
 
 func (s *Scheduler) workerAdded(ev WorkerAdded) {
 	ref := s.cell.Add(ev.Worker, ev.Rack, ev.Size)
 	for len(s.hosts) < s.cell.Refs() {
-		s.hosts = append(s.hosts, host{})
+		s.hosts = append(s.hosts, workerState{})
 	}
 	s.cell.Unbar(ref, place.BarCordoned|place.BarLeaving)
 	s.queue.SetTotal(s.cell.Total())
@@ -82,7 +82,7 @@
 		s.sick--
 	}
 	s.cell.Remove(ref)
-	s.hosts[ref] = host{generation: h.generation + 1}
+	s.hosts[ref] = workerState{generation: h.generation + 1}
 	s.queue.SetTotal(s.cell.Total())
 	s.dirty = true
 }
