--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -62,7 +62,7 @@
 // begin adds an attempt to its worker, team and job. Its capacity and units are
 // already reserved.
 func (s *Scheduler) begin(a *attempt, ref place.Ref) {
-	h := s.host(ref)
+	h := s.workerState(ref)
 	a.worker = ref
 	a.workerIndex = len(h.attempts)
 	h.attempts = append(h.attempts, a)
@@ -79,7 +79,7 @@
 // capacity and units.
 func (s *Scheduler) release(a *attempt) {
 	a.ended = true
-	h := s.host(a.worker)
+	h := s.workerState(a.worker)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
@@ -274,7 +274,7 @@
 		return
 	}
 	if s.displaceable(a) {
-		h := s.host(a.worker)
+		h := s.workerState(a.worker)
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
 	if a.stopping == "" {
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -169,7 +169,7 @@
 			continue
 		}
 		room := s.cell.Worker(e.worker).Free
-		for _, a := range s.host(e.worker).attempts {
+		for _, a := range s.workerState(e.worker).attempts {
 			if a.stopping != "" && s.now < a.stopAt+stopGrace {
 				room = room.Add(a.need)
 			}
@@ -210,7 +210,7 @@
 // displaceableOn returns the sum of the needs of the eligible displaceable
 // attempts on a worker.
 func (s *Scheduler) displaceableOn(ref place.Ref, eligible victimFilter) resource.Vector {
-	h := s.host(ref)
+	h := s.workerState(ref)
 	if eligible == nil || h.displaceable.IsZero() {
 		return h.displaceable
 	}
@@ -228,7 +228,7 @@
 // have run the shortest time.
 func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, eligible victimFilter) {
 	var victims []*attempt
-	for _, a := range s.host(ref).attempts {
+	for _, a := range s.workerState(ref).attempts {
 		if s.displaceable(a) && (eligible == nil || eligible(a)) {
 			victims = append(victims, a)
 		}
@@ -276,5 +276,5 @@
 
 // hasStopping reports whether any attempt on a worker is being stopped.
 func (s *Scheduler) hasStopping(ref place.Ref) bool {
-	return slices.ContainsFunc(s.host(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
+	return slices.ContainsFunc(s.workerState(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
 }
--- a/sched/plan.go
+++ b/sched/plan.go
@@ -137,7 +137,7 @@
 		if !j.need.Fits(s.cell.Worker(ref).Size) {
 			continue
 		}
-		for _, a := range s.host(ref).attempts {
+		for _, a := range s.workerState(ref).attempts {
 			if a.service == nil || a.stopping != "" {
 				p.ends = append(p.ends, plannedEnd{at: s.expectedEnd(a), ref: ref, need: a.need})
 			}
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -26,7 +26,7 @@
 // judgeWorker updates the failure state of the worker after the end of an
 // attempt, and quarantines the worker if needed.
 func (s *Scheduler) judgeWorker(a *attempt, ev AttemptEnded) {
-	h := s.host(a.worker)
+	h := s.workerState(a.worker)
 	if ev.Stopped || ev.Unknown {
 		s.cell.Unbar(a.worker, place.BarProbing)
 		return
@@ -82,7 +82,7 @@
 // quarantine the worker is probed: the first task placed on it bars it from
 // further work until that task has ended.
 func (s *Scheduler) unbarExpired(ref place.Ref, generation uint32) {
-	h := s.host(ref)
+	h := s.workerState(ref)
 	if h.generation != generation {
 		return
 	}
@@ -105,7 +105,7 @@
 	if reason == "" {
 		return
 	}
-	h := s.host(ref)
+	h := s.workerState(ref)
 	delay := exponentialBackoff(refusalBackoff, s.opts.QuarantineMin, h.refusals)
 	h.refusals++
 	h.backoffEnd = s.now + delay
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -22,7 +22,7 @@
 	backoffEnd    timeOf      // end of the backoff after a refused start
 }
 
-func (s *Scheduler) host(ref place.Ref) *workerState { return &s.hosts[ref] }
+func (s *Scheduler) workerState(ref place.Ref) *workerState { return &s.hosts[ref] }
 
 func (s *Scheduler) workerAdded(ev WorkerAdded) {
 	ref := s.cell.Add(ev.Worker, ev.Rack, ev.Size)
@@ -55,7 +55,7 @@
 		return
 	}
 	s.cell.Bar(ref, place.BarLeaving)
-	for _, a := range s.host(ref).attempts {
+	for _, a := range s.workerState(ref).attempts {
 		if s.displaceable(a) {
 			s.stop(a, ports.ControlCheckpoint)
 		}
@@ -72,7 +72,7 @@
 	}
 	s.cell.Bar(ref, place.BarCordoned)
 	s.endHoldsOn(ref)
-	h := s.host(ref)
+	h := s.workerState(ref)
 	for len(h.attempts) > 0 {
 		a := h.attempts[len(h.attempts)-1]
 		s.release(a)
