--- a/sched/displace.go
+++ b/sched/displace.go
@@ -183,7 +183,7 @@
 // fit the wanted number of tasks, and how many tasks will fit on them.
 func (s *Scheduler) victims(need resource.Vector, eligible victimFilter, wanted int64) ([]place.Ref, int64) {
 	var workers []place.Ref
-	for i := range s.hosts {
+	for i := range s.workers {
 		ref := place.Ref(i)
 		w := s.cell.Worker(ref)
 		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, eligible))) {
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -20,7 +20,7 @@
 	queue    *queue.Queue[*job]
 
 	jobs        map[ident.JobID]*job
-	hosts       []workerState // by place.Ref
+	workers     []workerState // by place.Ref
 	teams       map[ident.TeamID]*team
 	teamList    []*team // in order of their first event
 	families    families
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -22,12 +22,12 @@
 	backoffEnd    timeOf      // end of the backoff after a refused start
 }
 
-func (s *Scheduler) workerState(ref place.Ref) *workerState { return &s.hosts[ref] }
+func (s *Scheduler) workerState(ref place.Ref) *workerState { return &s.workers[ref] }
 
 func (s *Scheduler) workerAdded(ev WorkerAdded) {
 	ref := s.cell.Add(ev.Worker, ev.Rack, ev.Size)
-	for len(s.hosts) < s.cell.Refs() {
-		s.hosts = append(s.hosts, workerState{})
+	for len(s.workers) < s.cell.Refs() {
+		s.workers = append(s.workers, workerState{})
 	}
 	s.cell.Unbar(ref, place.BarCordoned|place.BarLeaving)
 	s.queue.SetTotal(s.cell.Total())
@@ -82,7 +82,7 @@
 		s.sick--
 	}
 	s.cell.Remove(ref)
-	s.hosts[ref] = workerState{generation: h.generation + 1}
+	s.workers[ref] = workerState{generation: h.generation + 1}
 	s.queue.SetTotal(s.cell.Total())
 	s.dirty = true
 }
