--- a/sched/sched.go
+++ b/sched/sched.go
@@ -11,13 +11,13 @@
 // Scheduler schedules the durable work of one availability zone. It is not safe
 // for concurrent use.
 type Scheduler struct {
-	opts     Options
-	now      time.Duration
-	commands []Command
-	cell     *place.Cell
-	placer   *place.Placer
-	asked    *place.Placer // for queries, which must not change later placements
-	queue    *queue.Queue[*job]
+	opts        Options
+	now         time.Duration
+	commands    []Command
+	cell        *place.Cell
+	placer      *place.Placer
+	queryPlacer *place.Placer // for queries, which must not change later placements
+	queue       *queue.Queue[*job]
 
 	jobs        map[ident.JobID]*job
 	workers     []workerState // by place.Ref
@@ -50,16 +50,16 @@
 	opts = opts.withDefaults()
 	cell := place.NewCell()
 	s := &Scheduler{
-		opts:      opts,
-		cell:      cell,
-		placer:    place.NewPlacer(cell),
-		asked:     place.NewPlacer(cell),
-		queue:     queue.New[*job](opts.UrgentOver),
-		jobs:      map[ident.JobID]*job{},
-		teams:     map[ident.TeamID]*team{},
-		families:  newFamilies(),
-		services:  map[ident.ServiceID]*service{},
-		serviceOf: map[ident.JobID]*service{},
+		opts:        opts,
+		cell:        cell,
+		placer:      place.NewPlacer(cell),
+		queryPlacer: place.NewPlacer(cell),
+		queue:       queue.New[*job](opts.UrgentOver),
+		jobs:        map[ident.JobID]*job{},
+		teams:       map[ident.TeamID]*team{},
+		families:    newFamilies(),
+		services:    map[ident.ServiceID]*service{},
+		serviceOf:   map[ident.JobID]*service{},
 	}
 	s.openFunc = s.mayStart
 	return s
