--- a/sched/displace.go
+++ b/sched/displace.go
@@ -136,7 +136,7 @@
 	for _, ref := range workers {
 		s.cell.Bar(ref, place.BarHeld)
 		entry.worker = ref
-		s.making = append(s.making, entry)
+		s.displacements = append(s.displacements, entry)
 	}
 }
 
@@ -164,7 +164,7 @@
 // although other tasks could be displaced.
 func (s *Scheduler) fitsOnceStopped(j *job, most int64) int64 {
 	fits := int64(0)
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		if !e.mayUse(j) {
 			continue
 		}
@@ -263,15 +263,15 @@
 // ended, or was not stopped in time. Dispatch has offered them before to the
 // work that they were held for. It reports whether any worker was released.
 func (s *Scheduler) endDisplacements() bool {
-	before := len(s.making)
-	s.making = slices.DeleteFunc(s.making, func(e displacement) bool {
+	before := len(s.displacements)
+	s.displacements = slices.DeleteFunc(s.displacements, func(e displacement) bool {
 		if s.now < e.until && s.hasStopping(e.worker) {
 			return false
 		}
 		s.cell.Unbar(e.worker, place.BarHeld)
 		return true
 	})
-	return len(s.making) < before
+	return len(s.displacements) < before
 }
 
 // hasStopping reports whether any attempt on a worker is being stopped.
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -161,7 +161,7 @@
 			s.endHold(h)
 		}
 	}
-	s.making = slices.DeleteFunc(s.making, func(e displacement) bool { return e.worker == ref })
+	s.displacements = slices.DeleteFunc(s.displacements, func(e displacement) bool { return e.worker == ref })
 }
 
 // startHeld starts the jobs that fit on the workers held for them.
@@ -204,7 +204,7 @@
 	if j.hold != nil {
 		return s.placer.PackIn(j.hold.workers, place.BarHeld, j.need)
 	}
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		if e.mayUse(j) && s.cell.Worker(e.worker).Bars == place.BarHeld && j.need.Fits(s.cell.Worker(e.worker).Free) {
 			return e.worker
 		}
--- a/sched/property_test.go
+++ b/sched/property_test.go
@@ -231,9 +231,9 @@
 			w.t.Fatalf("worker %s: %s free of %s with %d tasks", id, worker.Free, size, worker.Tasks)
 		}
 	}
-	if w.s.Jobs() != 0 || w.s.Waiting() != 0 || len(w.s.holds) != 0 || len(w.s.making) != 0 {
+	if w.s.Jobs() != 0 || w.s.Waiting() != 0 || len(w.s.holds) != 0 || len(w.s.displacements) != 0 {
 		w.t.Fatalf("after drain: %d jobs, %d waiting, %d holds, %d workers being emptied",
-			w.s.Jobs(), w.s.Waiting(), len(w.s.holds), len(w.s.making))
+			w.s.Jobs(), w.s.Waiting(), len(w.s.holds), len(w.s.displacements))
 	}
 	for id, t := range w.s.teams {
 		if !t.Used.IsZero() || t.unitsInUse != 0 {
--- a/sched/service.go
+++ b/sched/service.go
@@ -252,7 +252,7 @@
 	if s.opts.FirstFit || s.now < s.displaceAt || s.now < svc.backoffEnd || s.blocked(svc.team, svc.units) {
 		return
 	}
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		if e.service == svc {
 			missing--
 		}
@@ -275,7 +275,7 @@
 // emptied returns a worker that was emptied for the service and has room for a
 // replica now, or place.None.
 func (s *Scheduler) emptied(svc *service) place.Ref {
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		w := s.cell.Worker(e.worker)
 		if e.service == svc && w.Bars == place.BarHeld && svc.need.Fits(w.Free) {
 			return e.worker
