--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -124,8 +124,8 @@
 	for len(w.running) > 0 {
 		w.end(0, AttemptEnded{Ran: time.Second})
 	}
-	if _, ended := w.ended[job]; !ended || w.s.sick != 0 {
-		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.sick)
+	if _, ended := w.ended[job]; !ended || w.s.quarantined != 0 {
+		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.quarantined)
 	}
 }
 
@@ -143,8 +143,8 @@
 		}
 		w.pass(time.Second)
 	}
-	if w.s.sick != 0 {
-		t.Errorf("%d workers are quarantined, want 0", w.s.sick)
+	if w.s.quarantined != 0 {
+		t.Errorf("%d workers are quarantined, want 0", w.s.quarantined)
 	}
 }
 
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -49,8 +49,8 @@
 	}
 	h.failedJob = a.id.Job
 	h.failureStreak++
-	if h.failureStreak >= s.opts.QuarantineAfter && (s.sick+1)*quarantineDivisor <= max(s.cell.Len(), quarantineDivisor) {
-		s.sick++
+	if h.failureStreak >= s.opts.QuarantineAfter && (s.quarantined+1)*quarantineDivisor <= max(s.cell.Len(), quarantineDivisor) {
+		s.quarantined++
 		s.quarantine(a.worker, h)
 	}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	h.quarantines = 0
-	s.sick--
+	s.quarantined--
 	s.cell.Unbar(ref, place.BarProbing|place.BarQuarantined)
 	s.dirty = true
 }
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -40,7 +40,7 @@
 	displaceAt    timeOf                                           // time from which tasks may be preempted again
 	rebalanceAt   timeOf                                           // time from which shares may be rebalanced again
 	wakes         struct{ plan, displace, rebalance, look timeOf } // times of the last wake-ups set
-	sick          int                                              // quarantined workers
+	quarantined   int                                              // quarantined workers
 	openFunc      func(*queue.Class[*job]) bool
 	gangRefs      []place.Ref // scratch
 }
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -79,7 +79,7 @@
 		s.conclude(a, ending{lost: true, reason: reasonLost})
 	}
 	if h.quarantines > 0 {
-		s.sick--
+		s.quarantined--
 	}
 	s.cell.Remove(ref)
 	s.workers[ref] = workerState{generation: h.generation + 1}
