--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -173,7 +173,7 @@
 		t.Fatalf("%d run, commands %v", len(w.running), w.commands)
 	}
 	w.units.limit["a"] = 3
-	w.pass(refusalFor)
+	w.pass(limitRetryDelay)
 	if len(w.running) != 3 {
 		t.Errorf("%d run after the limit was raised", len(w.running))
 	}
@@ -186,10 +186,10 @@
 	w := newZone(t, 1, Options{})
 	w.units.limit["a"] = 1
 	w.accept(batch("a", 1, 2))
-	w.now += refusalFor / 2
+	w.now += limitRetryDelay / 2
 	w.step(LimitChanged{Team: "a"})
 	w.units.limit["a"] = 2
-	w.pass(refusalFor)
+	w.pass(limitRetryDelay)
 	if len(w.running) != 2 {
 		t.Errorf("%d run after the limit was raised", len(w.running))
 	}
--- a/sched/team.go
+++ b/sched/team.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// refusalFor is how long a refusal of units lasts before the units are requested
+// limitRetryDelay is how long a refusal of units lasts before the units are requested
 // again. The retry covers a lost LimitChanged event.
-const refusalFor = time.Second
+const limitRetryDelay = time.Second
 
 // tryUse takes limit units for tasks that start. After a refusal, work of the
 // team that needs as many units or more is skipped until units are returned.
@@ -77,7 +77,7 @@
 	if s.now >= due && s.now < due+s.opts.Patience && !t.overLimit(units) {
 		t.refusedUnits = 1
 	}
-	t.refusedUntil = s.now + refusalFor
+	t.refusedUntil = s.now + limitRetryDelay
 	if !t.retrySet {
 		t.retrySet = true
 		s.after(timer{at: t.refusedUntil, kind: timerLimit, team: t})
