--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -169,7 +169,7 @@
 
 // tasksAssigned updates the queue after tasks of the job were assigned.
 func (s *Scheduler) tasksAssigned(j *job) {
-	s.predictionDue(j)
+	s.recordStart(j)
 	s.weigh(j)
 	j.team.Started(j.item.Class())
 	if j.waiting() == 0 {
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// predictionDue updates the accuracy when a job with a prediction starts.
-func (s *Scheduler) predictionDue(j *job) {
+// recordStart updates the accuracy when a job with a prediction starts.
+func (s *Scheduler) recordStart(j *job) {
 	if j.predicted == 0 {
 		return
 	}
