--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -170,7 +170,7 @@
 // tasksAssigned updates the queue after tasks of the job were assigned.
 func (s *Scheduler) tasksAssigned(j *job) {
 	s.recordStart(j)
-	s.weigh(j)
+	s.updateLoad(j)
 	j.team.Started(j.item.Class())
 	if j.waiting() == 0 {
 		s.queue.Remove(&j.item)
--- a/sched/job.go
+++ b/sched/job.go
@@ -159,7 +159,7 @@
 // requeue adds the job to the queue if it has tasks to start, and removes it
 // otherwise.
 func (s *Scheduler) requeue(j *job) {
-	s.weigh(j)
+	s.updateLoad(j)
 	if waits := j.waiting() > 0; waits != j.item.Waiting() {
 		if !waits {
 			s.queue.Remove(&j.item)
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -126,7 +126,7 @@
 		end.Failed = true
 	}
 	j.ended = true
-	s.weigh(j)
+	s.updateLoad(j)
 	s.endHold(j.hold)
 	delete(s.jobs, j.id)
 	s.pruneTimers(j)
--- a/sched/learn.go
+++ b/sched/learn.go
@@ -113,8 +113,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// weigh updates the job's load and the sums of its team.
-func (s *Scheduler) weigh(j *job) {
+// updateLoad updates the job's load and the sums of its team.
+func (s *Scheduler) updateLoad(j *job) {
 	var work load
 	if waiting := j.waiting(); waiting > 0 {
 		work = loadOf(j.need, float64(waiting)*s.estimate(j).Seconds())
