--- a/sched/hold.go
+++ b/sched/hold.go
@@ -212,7 +212,7 @@
 	if s.opts.Hold != HoldPlanned || len(s.holds) == 0 {
 		return place.None
 	}
-	ends := s.now + s.cautious(j)
+	ends := s.now + s.cautiousEstimate(j)
 	for _, h := range s.holds {
 		if h.urgent || ends > h.at {
 			continue
--- a/sched/learn.go
+++ b/sched/learn.go
@@ -103,8 +103,8 @@
 	return defaultRunTime
 }
 
-// cautious returns a run time that few tasks of the job exceed.
-func (s *Scheduler) cautious(j *job) time.Duration {
+// cautiousEstimate returns a run time that few tasks of the job exceed.
+func (s *Scheduler) cautiousEstimate(j *job) time.Duration {
 	if j.family.runs >= minLearnedRuns {
 		return seconds(j.family.mean + cautiousDeviations*j.family.deviation)
 	}
