--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -162,7 +162,7 @@
 // trial bars a worker that returns from quarantine until the task that was just
 // assigned to it has ended.
 func (s *Scheduler) trial(ref place.Ref) {
-	if s.workerState(ref).onTrial() {
+	if s.workerState(ref).needsProbe() {
 		s.cell.Bar(ref, place.BarProbing)
 	}
 }
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -95,8 +95,8 @@
 	s.dirty = true
 }
 
-// onTrial reports whether the next task on the worker is a probe.
-func (h *workerState) onTrial() bool { return h.quarantines > 0 }
+// needsProbe reports whether the next task on the worker is a probe.
+func (h *workerState) needsProbe() bool { return h.quarantines > 0 }
 
 // workerRefused bars a worker that refused a start for the backoff time.
 // Otherwise the scheduler would choose the same worker again at once.
