--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -250,7 +250,7 @@
 // requeueAfter queues a task, or a whole gang, again after the delay.
 func (s *Scheduler) requeueAfter(j *job, index int, delay time.Duration) {
 	j.delayed++
-	s.after(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
+	s.setTimer(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
 }
 
 // backoffPassed queues a task, or a whole gang, at the end of its backoff.
@@ -285,7 +285,7 @@
 	s.sendControl(a)
 	if !alreadyStopping {
 		a.stopAt = s.now
-		s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
+		s.setTimer(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 	}
 }
 
@@ -305,7 +305,7 @@
 		return
 	}
 	s.sendControl(a)
-	s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
+	s.setTimer(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 }
 
 func (s *Scheduler) usageReported(ev UsageReported) {
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -131,8 +131,8 @@
 // work that entry names.
 func (s *Scheduler) holdDisplacing(workers []place.Ref, entry displacement) {
 	entry.until = s.now + maxDisplacementHold
-	s.after(timer{at: entry.until, kind: timerWake})
-	s.after(timer{at: s.now + stopGrace, kind: timerWake})
+	s.setTimer(timer{at: entry.until, kind: timerWake})
+	s.setTimer(timer{at: s.now + stopGrace, kind: timerWake})
 	for _, ref := range workers {
 		s.cell.Bar(ref, place.BarHeld)
 		entry.worker = ref
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -127,7 +127,7 @@
 	}
 	h.job.hold = h
 	s.holds = append(s.holds, h)
-	s.after(timer{at: s.now + s.opts.HoldFor, kind: timerHold, hold: h})
+	s.setTimer(timer{at: s.now + s.opts.HoldFor, kind: timerHold, hold: h})
 }
 
 // endHold releases the workers of a hold. It does nothing for nil or for a hold
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -50,8 +50,8 @@
 
 func (s *Scheduler) setDeadline(j *job) {
 	if j.spec.Deadline > 0 {
-		s.after(timer{at: j.accepted + j.spec.Deadline/nearDeadlineDivisor, kind: timerWake, job: j})
-		s.after(timer{at: j.accepted + j.spec.Deadline, kind: timerDeadline, job: j})
+		s.setTimer(timer{at: j.accepted + j.spec.Deadline/nearDeadlineDivisor, kind: timerWake, job: j})
+		s.setTimer(timer{at: j.accepted + j.spec.Deadline, kind: timerDeadline, job: j})
 	}
 }
 
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -75,7 +75,7 @@
 	h.quarantineEnd = s.now + delay
 	s.cell.Unbar(ref, place.BarProbing)
 	s.cell.Bar(ref, place.BarQuarantined)
-	s.after(timer{at: h.quarantineEnd, kind: timerWorker, worker: ref, generation: h.generation})
+	s.setTimer(timer{at: h.quarantineEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
 
 // unbarExpired ends a quarantine or the backoff after a refusal. After a
@@ -110,5 +110,5 @@
 	h.refusals++
 	h.backoffEnd = s.now + delay
 	s.cell.Bar(ref, place.BarBackoff)
-	s.after(timer{at: h.backoffEnd, kind: timerWorker, worker: ref, generation: h.generation})
+	s.setTimer(timer{at: h.backoffEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
--- a/sched/service.go
+++ b/sched/service.go
@@ -122,7 +122,7 @@
 	switch {
 	case e.refused && e.backoff:
 		svc.backoffEnd = s.now + s.opts.BackoffMin
-		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
+		s.setTimer(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	case a.stopping != "" || e.lost || e.refused:
 	case a.started && s.now-a.since >= s.opts.BackoffMax:
 		svc.failures = 0
@@ -130,7 +130,7 @@
 		svc.lastFailedOn = a.worker
 		svc.backoffEnd = s.now + exponentialBackoff(s.opts.BackoffMin, s.opts.BackoffMax, svc.failures)
 		svc.failures++
-		s.after(timer{at: svc.backoffEnd, kind: timerService, service: svc})
+		s.setTimer(timer{at: svc.backoffEnd, kind: timerService, service: svc})
 	}
 	if svc.removed && len(svc.byStart) == 0 {
 		s.dropService(svc)
--- a/sched/team.go
+++ b/sched/team.go
@@ -80,7 +80,7 @@
 	t.refusedUntil = s.now + limitRetryDelay
 	if !t.retrySet {
 		t.retrySet = true
-		s.after(timer{at: t.refusedUntil, kind: timerLimit, team: t})
+		s.setTimer(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 	}
 	s.emit(Want{Team: t.ID, Units: units})
 	return false
@@ -90,7 +90,7 @@
 // it sets the timer again.
 func (s *Scheduler) retryRefused(t *team) {
 	if s.now < t.refusedUntil {
-		s.after(timer{at: t.refusedUntil, kind: timerLimit, team: t})
+		s.setTimer(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 		return
 	}
 	t.retrySet = false
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -66,7 +66,7 @@
 	return t
 }
 
-func (s *Scheduler) after(t timer) {
+func (s *Scheduler) setTimer(t timer) {
 	s.timers.seq++
 	t.seq = s.timers.seq
 	if t.job != nil {
@@ -83,7 +83,7 @@
 		return
 	}
 	*slot = at
-	s.after(timer{at: at, kind: timerWake})
+	s.setTimer(timer{at: at, kind: timerWake})
 }
 
 // pruneTimers counts the timers of an ended job, and removes the timers of all
