--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -166,7 +166,7 @@
 	t := &j.tasks[a.id.Index]
 	t.run = nil
 	if !e.refused {
-		j.begun++
+		j.executed++
 	}
 	s.learnRun(j, e)
 	switch {
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -100,7 +100,7 @@
 		j.failures++
 	}
 	retry := j.failures < s.maxAttempts(j)
-	if j.spec.NonIdempotent && j.begun > 0 {
+	if j.spec.NonIdempotent && j.executed > 0 {
 		retry = false
 	}
 	if !retry {
--- a/sched/job.go
+++ b/sched/job.go
@@ -28,7 +28,7 @@
 	preempted []int32 // tasks preempted for urgent work, oldest first; they start after all others
 	delayed   int     // tasks in backoff
 	open      int     // attempts that have not ended
-	begun     int     // attempts that ran or may have run
+	executed  int     // attempts that ran or may have run
 	done      int     // tasks that succeeded
 	failed    int     // tasks that failed and are not retried
 
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -117,7 +117,7 @@
 	case j.done == j.spec.Tasks:
 		end.Outcome = work.OutcomeRan
 		end.Reason = ""
-	case j.begun == 0:
+	case j.executed == 0:
 		end.Outcome = work.OutcomeNotRun
 	case j.uncertain:
 		end.Outcome = work.OutcomeUnknown
@@ -166,7 +166,7 @@
 		ran--
 	}
 	t.failures = int32(max(ran-restored.Displaced, 0))
-	j.begun += max(ran, 0)
+	j.executed += max(ran, 0)
 	switch {
 	case restored.Done:
 		t.done = true
