--- a/sched/job.go
+++ b/sched/job.go
@@ -146,7 +146,7 @@
 	if s.opts.FirstFit {
 		return 0
 	}
-	patience := s.opts.Patience
+	patience := s.opts.DueAfter
 	if j.spec.Urgent {
 		patience = s.opts.UrgentPatience
 	}
--- a/sched/team.go
+++ b/sched/team.go
@@ -74,7 +74,7 @@
 		return true
 	}
 	t.refusedUnits = units
-	if s.now >= due && s.now < due+s.opts.Patience && !t.overLimit(units) {
+	if s.now >= due && s.now < due+s.opts.DueAfter && !t.overLimit(units) {
 		t.refusedUnits = 1
 	}
 	t.refusedUntil = s.now + limitRetryDelay
