--- a/sched/defaults.go
+++ b/sched/defaults.go
@@ -10,7 +10,7 @@
 	defaultDuration(&o.HoldAfter, 2*time.Second)
 	defaultDuration(&o.HoldFor, 10*time.Minute)
 	defaultDuration(&o.DueAfter, 5*time.Minute)
-	defaultDuration(&o.UrgentPatience, 2*time.Second)
+	defaultDuration(&o.UrgentDueAfter, 2*time.Second)
 	defaultDuration(&o.BackoffMin, time.Second)
 	defaultDuration(&o.BackoffMax, 5*time.Minute)
 	defaultDuration(&o.QuarantineMin, 30*time.Second)
--- a/sched/job.go
+++ b/sched/job.go
@@ -148,7 +148,7 @@
 	}
 	patience := s.opts.DueAfter
 	if j.spec.Urgent {
-		patience = s.opts.UrgentPatience
+		patience = s.opts.UrgentDueAfter
 	}
 	if j.spec.Deadline > 0 {
 		patience = min(patience, j.spec.Deadline)
--- a/sched/options.go
+++ b/sched/options.go
@@ -58,7 +58,7 @@
 	HoldFor   time.Duration // maximum length of a hold; default 10 min
 
 	DueAfter       time.Duration // wait after which work that is not urgent counts as due; default 5 min
-	UrgentPatience time.Duration // the same for urgent work; default 2 s
+	UrgentDueAfter time.Duration // the same for urgent work; default 2 s
 	UrgentOver     float64       // urgent work has priority up to this multiple of its team's share; default 1.5
 	MaxDisplaced   int           // times that one task may be preempted (displaced); NeverDisplaced disables preemption; default 3
 	KeepRunning    bool          // no preemption of tasks to restore the share of another team
