--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -21,14 +21,14 @@
 	units   int64
 
 	worker      place.Ref
-	workerIndex int    // index in host.attempts
-	since       timeOf // start of the run; before started is set, time of the assignment
+	workerIndex int           // index in host.attempts
+	since       monotonicTime // start of the run; before started is set, time of the assignment
 	started     bool
 	expected    time.Duration // run time
 	excessCPU   int64         // measured milli-cpu above the need
 	stopping    ports.Control
-	stopAt      timeOf // time of the first control
-	requeueLast bool   // displaced for urgent work or a service replica
+	stopAt      monotonicTime // time of the first control
+	requeueLast bool          // displaced for urgent work or a service replica
 	ended       bool
 }
 
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -38,7 +38,7 @@
 // team or, if neither is set, for urgent work.
 type displacement struct {
 	worker  place.Ref
-	until   timeOf // latest end of the hold
+	until   monotonicTime // latest end of the hold
 	team    *team
 	service *service
 }
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -31,9 +31,9 @@
 type hold struct {
 	job     *job
 	workers []place.Ref
-	at      timeOf // planned start
-	first   timeOf // planned start when the hold was made
-	urgent  bool   // capacity is being freed by displacement; no other work may use it
+	at      monotonicTime // planned start
+	first   monotonicTime // planned start when the hold was made
+	urgent  bool          // capacity is being freed by displacement; no other work may use it
 }
 
 // mayStarve reports whether a job may starve behind small work: it is a gang, or
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -28,7 +28,7 @@
 	s.predictArrival(j)
 }
 
-func (s *Scheduler) newJob(id ident.JobID, spec work.Spec, age timeOf) *job {
+func (s *Scheduler) newJob(id ident.JobID, spec work.Spec, age monotonicTime) *job {
 	spec.Tasks = max(spec.Tasks, 1)
 	j := &job{
 		id:       id,
--- a/sched/plan.go
+++ b/sched/plan.go
@@ -21,7 +21,7 @@
 
 // plannedEnd is the expected end of a running attempt.
 type plannedEnd struct {
-	at   timeOf
+	at   monotonicTime
 	ref  place.Ref
 	need resource.Vector
 }
@@ -52,7 +52,7 @@
 // expectedEnd returns when an attempt is expected to end. The remaining time is
 // at least a quarter of its run time so far, which covers attempts that run
 // longer than expected.
-func (s *Scheduler) expectedEnd(a *attempt) timeOf {
+func (s *Scheduler) expectedEnd(a *attempt) monotonicTime {
 	if a.stopping != "" && s.now < a.stopAt+maxDisplacementHold {
 		return s.now + stopTime
 	}
@@ -65,7 +65,7 @@
 // room even after all their running tasks have ended; replicas do not end.
 //
 // Workers with bars other than ignore are left out.
-func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (timeOf, []place.Ref, bool) {
+func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (monotonicTime, []place.Ref, bool) {
 	missing := p.tasksToFit(j)
 	p.sample(s, max(minPlanWorkers, planWorkersPerTask*int(missing)), ignore)
 	at, ok := p.simulate(s, j, p.refs, missing)
@@ -90,7 +90,7 @@
 }
 
 // planOn returns when a job is expected to fit on the given workers alone.
-func (s *Scheduler) planOn(j *job, refs []place.Ref) (timeOf, bool) {
+func (s *Scheduler) planOn(j *job, refs []place.Ref) (monotonicTime, bool) {
 	return s.planner.simulate(s, j, refs, s.planner.tasksToFit(j))
 }
 
@@ -104,7 +104,7 @@
 // simulate ends the running attempts on the workers, in order of expected end,
 // until `missing` tasks of the job fit. It returns the time of the last end, and
 // whether the tasks fit.
-func (p *planner) simulate(s *Scheduler, j *job, refs []place.Ref, missing int64) (timeOf, bool) {
+func (p *planner) simulate(s *Scheduler, j *job, refs []place.Ref, missing int64) (monotonicTime, bool) {
 	p.load(s, j, refs)
 	fits := int64(0)
 	for _, ref := range refs {
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -8,7 +8,7 @@
 
 // prediction tracks the error of predicted start times.
 type prediction struct {
-	nextSampleAt timeOf // time from which the next sample may be taken
+	nextSampleAt monotonicTime // time from which the next sample may be taken
 	accuracy     Accuracy
 }
 
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -31,16 +31,16 @@
 	holds       []*hold
 	prediction
 
-	seq           uint64 // sequence number of the last job that arrived
-	changedJob    *job   // the only job with new waiting tasks, unless dirty is set
-	dirty         bool   // a change may allow waiting work to start
-	planAt        timeOf // time from which holds may be planned again
+	seq           uint64        // sequence number of the last job that arrived
+	changedJob    *job          // the only job with new waiting tasks, unless dirty is set
+	dirty         bool          // a change may allow waiting work to start
+	planAt        monotonicTime // time from which holds may be planned again
 	planner       planner
 	displacements []displacement
-	displaceAt    timeOf                                           // time from which tasks may be preempted again
-	rebalanceAt   timeOf                                           // time from which shares may be rebalanced again
-	wakes         struct{ plan, displace, rebalance, look timeOf } // times of the last wake-ups set
-	quarantined   int                                              // quarantined workers
+	displaceAt    monotonicTime                                           // time from which tasks may be preempted again
+	rebalanceAt   monotonicTime                                           // time from which shares may be rebalanced again
+	wakes         struct{ plan, displace, rebalance, look monotonicTime } // times of the last wake-ups set
+	quarantined   int                                                     // quarantined workers
 	openFunc      func(*queue.Class[*job]) bool
 	gangRefs      []place.Ref // scratch
 }
--- a/sched/service.go
+++ b/sched/service.go
@@ -21,11 +21,11 @@
 	byStart  []*attempt // the replicas, in order of start
 	spread   *place.Spread
 
-	next         int       // index of the next replica
-	noRoomMark   uint64    // position in the log of freed room when no worker fitted; zero if not set
-	failures     int       // consecutive failures of replicas
-	backoffEnd   timeOf    // end of the backoff after a failure
-	lastFailedOn place.Ref // worker of the last failure, or place.None
+	next         int           // index of the next replica
+	noRoomMark   uint64        // position in the log of freed room when no worker fitted; zero if not set
+	failures     int           // consecutive failures of replicas
+	backoffEnd   monotonicTime // end of the backoff after a failure
+	lastFailedOn place.Ref     // worker of the last failure, or place.None
 	removed      bool
 }
 
--- a/sched/team.go
+++ b/sched/team.go
@@ -12,15 +12,15 @@
 // team is the state that the scheduler keeps for a team.
 type team struct {
 	*queue.Team[*job]
-	number       int    // index in Scheduler.teamList
-	limit        int64  // upper limit in units over the fleet; zero for none
-	refusedUnits int64  // units refused last; math.MaxInt64 if none were
-	refusedUntil timeOf // end of the refusal
-	retrySet     bool   // a timer for a retry after the refusal is set
-	load         load   // of the waiting tasks
-	pressingLoad load   // of the waiting tasks of pressing jobs: urgent or with a deadline
-	headJob      *job   // head of the team's queue when last planned
-	headSince    timeOf // time from which headJob is at the head
+	number       int           // index in Scheduler.teamList
+	limit        int64         // upper limit in units over the fleet; zero for none
+	refusedUnits int64         // units refused last; math.MaxInt64 if none were
+	refusedUntil monotonicTime // end of the refusal
+	retrySet     bool          // a timer for a retry after the refusal is set
+	load         load          // of the waiting tasks
+	pressingLoad load          // of the waiting tasks of pressing jobs: urgent or with a deadline
+	headJob      *job          // head of the team's queue when last planned
+	headSince    monotonicTime // time from which headJob is at the head
 	unitsInUse   int64
 	stopping     resource.Vector // needs of the attempts being stopped
 }
@@ -68,7 +68,7 @@
 // Once the refused work is due, all work of the team waits; otherwise smaller
 // work would take every returned unit. This lasts Options.Patience at most, so
 // work that never gets its units cannot block its team forever.
-func (s *Scheduler) tryUse(t *team, units int64, due timeOf) bool {
+func (s *Scheduler) tryUse(t *team, units int64, due monotonicTime) bool {
 	if s.opts.Limits.TryUse(t.ID, units) {
 		t.unitsInUse += units
 		return true
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -7,8 +7,8 @@
 	"github.com/fireflyfold/fireflyfold/place"
 )
 
-// timeOf is a point in time on the process's own monotonic clock.
-type timeOf = time.Duration
+// monotonicTime is a point in time on the process's own monotonic clock.
+type monotonicTime = time.Duration
 
 type timerKind uint8
 
@@ -26,7 +26,7 @@
 // timer is an action at a point in time. The action checks its condition again
 // when it fires, because the job, hold or attempt may have ended by then.
 type timer struct {
-	at         timeOf
+	at         monotonicTime
 	seq        uint64
 	kind       timerKind
 	index      int32
@@ -78,7 +78,7 @@
 // wake sets a timer for another scheduling decision, unless the last one set for
 // the slot has the same time. Rate-limited decisions use it; without the timer a
 // deferred decision would wait for the next event.
-func (s *Scheduler) wake(slot *timeOf, at timeOf) {
+func (s *Scheduler) wake(slot *monotonicTime, at monotonicTime) {
 	if *slot == at {
 		return
 	}
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -14,12 +14,12 @@
 	displaceable resource.Vector // needs of the attempts that may be preempted
 	generation   uint32          // number of earlier workers with this place.Ref
 
-	failureStreak int         // consecutive failures of different jobs
-	failedJob     ident.JobID // job of the last counted failure
-	quarantines   int         // quarantines since the last success
-	quarantineEnd timeOf      // end of the quarantine
-	refusals      int         // refused starts since the last attempt that succeeded or failed
-	backoffEnd    timeOf      // end of the backoff after a refused start
+	failureStreak int           // consecutive failures of different jobs
+	failedJob     ident.JobID   // job of the last counted failure
+	quarantines   int           // quarantines since the last success
+	quarantineEnd monotonicTime // end of the quarantine
+	refusals      int           // refused starts since the last attempt that succeeded or failed
+	backoffEnd    monotonicTime // end of the backoff after a refused start
 }
 
 func (s *Scheduler) workerState(ref place.Ref) *workerState { return &s.workers[ref] }
