--- a/sched/job.go
+++ b/sched/job.go
@@ -25,7 +25,7 @@
 	fresh     int     // index of the first task that was never taken for a start
 	last      int     // tasks with this index or a higher one are never attempted
 	ready     []int32 // tasks below fresh that wait for an attempt
-	preempted []int32 // tasks preempted for urgent work, oldest first; they start after all others
+	displaced []int32 // tasks preempted for urgent work, oldest first; they start after all others
 	delayed   int     // tasks in backoff
 	open      int     // attempts that have not ended
 	executed  int     // attempts that ran or may have run
@@ -65,7 +65,7 @@
 	if j.ended || j.closed || j.broken {
 		return 0
 	}
-	return j.last - j.fresh + len(j.ready) + len(j.preempted)
+	return j.last - j.fresh + len(j.ready) + len(j.displaced)
 }
 
 func (j *job) shape() queue.Shape {
@@ -88,18 +88,18 @@
 		j.ready = j.ready[:n-1]
 		return int(index)
 	}
-	if j.fresh < j.last || len(j.preempted) == 0 {
+	if j.fresh < j.last || len(j.displaced) == 0 {
 		return j.takeFresh()
 	}
-	index := j.preempted[0]
-	j.preempted = j.preempted[1:]
+	index := j.displaced[0]
+	j.displaced = j.displaced[1:]
 	return int(index)
 }
 
 // waitDisplaced queues the task of a preempted attempt for another attempt.
 func (j *job) waitDisplaced(a *attempt) {
 	if a.requeueLast {
-		j.preempted = append(j.preempted, int32(a.id.Index))
+		j.displaced = append(j.displaced, int32(a.id.Index))
 		return
 	}
 	j.ready = append(j.ready, int32(a.id.Index))
@@ -123,8 +123,8 @@
 	if n := len(j.ready); n > 0 {
 		return j.tasks[j.ready[n-1]].last
 	}
-	if j.fresh == j.last && len(j.preempted) > 0 {
-		return j.tasks[j.preempted[0]].last
+	if j.fresh == j.last && len(j.displaced) > 0 {
+		return j.tasks[j.displaced[0]].last
 	}
 	return place.None
 }
