--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -21,7 +21,7 @@
 	units   int64
 
 	worker      place.Ref
-	workerIndex int           // index in host.attempts
+	workerIndex int           // index in workerState.attempts
 	since       monotonicTime // start of the run; before started is set, time of the assignment
 	started     bool
 	expected    time.Duration // run time
--- a/sched/job.go
+++ b/sched/job.go
@@ -25,7 +25,7 @@
 	fresh     int     // index of the first task that was never taken for a start
 	last      int     // tasks with this index or a higher one are never attempted
 	ready     []int32 // tasks below fresh that wait for an attempt
-	displaced []int32 // tasks preempted for urgent work, oldest first; they start after all others
+	displaced []int32 // tasks displaced for urgent work, oldest first; they start after all others
 	delayed   int     // tasks in backoff
 	open      int     // attempts that have not ended
 	executed  int     // attempts that ran or may have run
@@ -52,7 +52,7 @@
 	run       *attempt  // the open attempt, or nil
 	attempts  int32     // assigned so far
 	failures  int32     // attempts that failed or were lost
-	displaced int32     // attempts that were preempted
+	displaced int32     // attempts that were displaced
 	last      place.Ref // worker of the last failure, or place.None
 	done      bool
 }
@@ -79,9 +79,9 @@
 // take removes the next task to start from the waiting tasks and returns its
 // index. At least one task must be waiting.
 //
-// Tasks preempted for urgent work come last. If they came first, the same few
-// tasks would be preempted until they reach MaxDisplaced. They would then fill
-// the zone and block urgent work, while tasks that may be preempted wait.
+// Tasks displaced for urgent work come last. If they came first, the same few
+// tasks would be displaced until they reach MaxDisplaced. They would then fill
+// the zone and block urgent work, while tasks that may be displaced wait.
 func (j *job) take() int {
 	if n := len(j.ready); n > 0 {
 		index := j.ready[n-1]
@@ -96,7 +96,7 @@
 	return int(index)
 }
 
-// waitDisplaced queues the task of a preempted attempt for another attempt.
+// waitDisplaced queues the task of a displaced attempt for another attempt.
 func (j *job) waitDisplaced(a *attempt) {
 	if a.requeueLast {
 		j.displaced = append(j.displaced, int32(a.id.Index))
--- a/sched/options.go
+++ b/sched/options.go
@@ -60,8 +60,8 @@
 	DueAfter       time.Duration // wait after which work that is not urgent counts as due; default 5 min
 	UrgentDueAfter time.Duration // the same for urgent work; default 2 s
 	UrgentOver     float64       // urgent work has priority up to this multiple of its team's share; default 1.5
-	MaxDisplaced   int           // times that one task may be preempted (displaced); NeverDisplaced disables preemption; default 3
-	KeepRunning    bool          // no preemption of tasks to restore the share of another team
+	MaxDisplaced   int           // times that one task may be displaced (preempted); NeverDisplaced for none; default 3
+	KeepRunning    bool          // displace no tasks to restore the share of another team
 
 	MaxAttempts int           // default and maximum of the attempts of a task; default 5
 	BackoffMin  time.Duration // backoff after the first failure, doubled each time; default 1 s
@@ -76,5 +76,6 @@
 	FirstFit bool // first in, first out on the first worker that fits; baseline for measurements
 }
 
-// NeverDisplaced as Options.MaxDisplaced disables preemption.
+// NeverDisplaced as Options.MaxDisplaced lets every task run to its end without
+// preemption.
 const NeverDisplaced = -1
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -8,16 +8,16 @@
 )
 
 // A team whose work arrives when other teams fill the zone gets its fair share
-// only as fast as their tasks end. Tasks that may be preempted are therefore
+// only as fast as their tasks end. Tasks that may be displaced are therefore
 // checkpointed, a few at a time, until the shares are close to fair. Their
 // workers are held for the team until the tasks have ended.
 const (
 	rebalanceInterval = time.Second
-	workersPerVictim  = 24   // tasks preempted per round: one, and one more for each workersPerVictim workers
+	workersPerVictim  = 24   // tasks displaced per round: one, and one more for each workersPerVictim workers
 	shareTolerance    = 0.01 // tolerated distance from the fair share, as a fraction of the zone
 )
 
-// rebalance preempts tasks of teams above their fair share for the team that is
+// rebalance displaces tasks of teams above their fair share for the team that is
 // furthest below its own. It runs at most once in rebalanceInterval.
 func (s *Scheduler) rebalance() {
 	if s.opts.KeepRunning || s.queue.Len() == 0 {
--- a/sched/service.go
+++ b/sched/service.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// counted reports whether a replica counts toward the wanted number: neither the
-// replica is being stopped nor its worker removed.
+// counted reports whether a replica counts toward the wanted number: it is not
+// being stopped, and its worker is not being removed.
 func (s *Scheduler) counted(a *attempt) bool {
 	return a.stopping == "" && s.cell.Worker(a.worker).Bars&place.BarLeaving == 0
 }
@@ -245,7 +245,7 @@
 	return true
 }
 
-// displaceForReplicas preempts tasks for missing replicas that fit on no worker.
+// displaceForReplicas displaces tasks for missing replicas that fit on no worker.
 // Callers of a service wait for an answer, and a zone full of batch work may
 // have no room for hours.
 func (s *Scheduler) displaceForReplicas(svc *service, missing int) {
--- a/sched/team.go
+++ b/sched/team.go
@@ -59,14 +59,14 @@
 	}
 }
 
-// limitRetryDelay is how long a refusal of units lasts before the units are requested
-// again. The retry covers a lost LimitChanged event.
+// limitRetryDelay is the time after which refused units are requested again. The
+// retry covers a lost LimitChanged event.
 const limitRetryDelay = time.Second
 
 // tryUse takes limit units for tasks that start. After a refusal, work of the
 // team that needs as many units or more is skipped until units are returned.
 // Once the refused work is due, all work of the team waits; otherwise smaller
-// work would take every returned unit. This lasts Options.Patience at most, so
+// work would take every returned unit. This lasts Options.DueAfter at most, so
 // work that never gets its units cannot block its team forever.
 func (s *Scheduler) tryUse(t *team, units int64, due monotonicTime) bool {
 	if s.opts.Limits.TryUse(t.ID, units) {
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -7,11 +7,11 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// workerState is the state that the scheduler keeps for a worker, besides its resources
-// in place.Cell.
+// workerState is the state that the scheduler keeps for a worker, besides its
+// resources in place.Cell.
 type workerState struct {
 	attempts     []*attempt
-	displaceable resource.Vector // needs of the attempts that may be preempted
+	displaceable resource.Vector // needs of the attempts that may be displaced
 	generation   uint32          // number of earlier workers with this place.Ref
 
 	failureStreak int           // consecutive failures of different jobs
