--- a/sched/job.go
+++ b/sched/job.go
@@ -146,14 +146,14 @@
 	if s.opts.FirstFit {
 		return 0
 	}
-	patience := s.opts.DueAfter
+	dueAfter := s.opts.DueAfter
 	if j.spec.Urgent {
-		patience = s.opts.UrgentDueAfter
+		dueAfter = s.opts.UrgentDueAfter
 	}
 	if j.spec.Deadline > 0 {
-		patience = min(patience, j.spec.Deadline)
+		dueAfter = min(dueAfter, j.spec.Deadline)
 	}
-	return j.accepted + patience
+	return j.accepted + dueAfter
 }
 
 // requeue adds the job to the queue if it has tasks to start, and removes it
