--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if s.queue.Partial() {
-		s.wake(&s.wakes.look, s.now+rescanInterval)
+		s.wake(&s.wakes.rescan, s.now+rescanInterval)
 	}
 	s.displace()
 	s.rebalance()
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -37,10 +37,10 @@
 	planAt        monotonicTime // time from which holds may be planned again
 	planner       planner
 	displacements []displacement
-	displaceAt    monotonicTime                                           // time from which tasks may be displaced again
-	rebalanceAt   monotonicTime                                           // time from which shares may be rebalanced again
-	wakes         struct{ plan, displace, rebalance, look monotonicTime } // times of the last wake-ups set
-	quarantined   int                                                     // quarantined workers
+	displaceAt    monotonicTime                                             // time from which tasks may be displaced again
+	rebalanceAt   monotonicTime                                             // time from which shares may be rebalanced again
+	wakes         struct{ plan, displace, rebalance, rescan monotonicTime } // times of the last wake-ups set
+	quarantined   int                                                       // quarantined workers
 	openFunc      func(*queue.Class[*job]) bool
 	gangRefs      []place.Ref // scratch
 }
