--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if s.queue.Partial() {
-		s.wake(&s.wakes.look, s.now+rescanInterval)
+		s.wake(&s.wakes.rescan, s.now+rescanInterval)
 	}
 	s.displace()
 	s.rebalance()
@@ -162,15 +162,15 @@
 // trial bars a worker that returns from quarantine until the task that was just
 // assigned to it has ended.
 func (s *Scheduler) trial(ref place.Ref) {
-	if s.host(ref).onTrial() {
+	if s.workerState(ref).needsProbe() {
 		s.cell.Bar(ref, place.BarProbing)
 	}
 }
 
 // tasksAssigned updates the queue after tasks of the job were assigned.
 func (s *Scheduler) tasksAssigned(j *job) {
-	s.predictionDue(j)
-	s.weigh(j)
+	s.recordStart(j)
+	s.updateLoad(j)
 	j.team.Started(j.item.Class())
 	if j.waiting() == 0 {
 		s.queue.Remove(&j.item)
--- a/sched/hold.go
+++ b/sched/hold.go
@@ -31,9 +31,9 @@
 type hold struct {
 	job     *job
 	workers []place.Ref
-	at      timeOf // planned start
-	first   timeOf // planned start when the hold was made
-	urgent  bool   // capacity is being freed by displacement; no other work may use it
+	at      monotonicTime // planned start
+	first   monotonicTime // planned start when the hold was made
+	urgent  bool          // capacity is being freed by displacement; no other work may use it
 }
 
 // mayStarve reports whether a job may starve behind small work: it is a gang, or
@@ -127,7 +127,7 @@
 	}
 	h.job.hold = h
 	s.holds = append(s.holds, h)
-	s.after(timer{at: s.now + s.opts.HoldFor, kind: timerHold, hold: h})
+	s.setTimer(timer{at: s.now + s.opts.HoldFor, kind: timerHold, hold: h})
 }
 
 // endHold releases the workers of a hold. It does nothing for nil or for a hold
@@ -161,7 +161,7 @@
 			s.endHold(h)
 		}
 	}
-	s.making = slices.DeleteFunc(s.making, func(e displacement) bool { return e.worker == ref })
+	s.displacements = slices.DeleteFunc(s.displacements, func(e displacement) bool { return e.worker == ref })
 }
 
 // startHeld starts the jobs that fit on the workers held for them.
@@ -204,7 +204,7 @@
 	if j.hold != nil {
 		return s.placer.PackIn(j.hold.workers, place.BarHeld, j.need)
 	}
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		if e.mayUse(j) && s.cell.Worker(e.worker).Bars == place.BarHeld && j.need.Fits(s.cell.Worker(e.worker).Free) {
 			return e.worker
 		}
@@ -212,7 +212,7 @@
 	if s.opts.Hold != HoldPlanned || len(s.holds) == 0 {
 		return place.None
 	}
-	ends := s.now + s.cautious(j)
+	ends := s.now + s.cautiousEstimate(j)
 	for _, h := range s.holds {
 		if h.urgent || ends > h.at {
 			continue
--- a/sched/team.go
+++ b/sched/team.go
@@ -9,26 +9,26 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// team is what the scheduler keeps of a team.
+// team is the state that the scheduler keeps for a team.
 type team struct {
 	*queue.Team[*job]
-	number     int    // in the order of first events
-	limit      int64  // upper limit over the fleet; zero if there is none
-	refused    int64  // units that were refused last; math.MaxInt64 if none were
-	refusedTil timeOf // after this the refusal counts no longer
-	retrying   bool   // a timer for the end of the refusal is set
-	load       load   // of the tasks that wait
-	deadlines  load   // the same, of jobs with a deadline or urgent ones only
-	headJob    *job   // the job that is due first, when last looked at
-	headSince  timeOf
-	unitsInUse int64
-	stopping   resource.Vector // needs of the attempts that are being stopped
+	number       int           // index in Scheduler.teamList
+	limit        int64         // upper limit in units over the fleet; zero for none
+	refusedUnits int64         // units refused last; math.MaxInt64 if none were
+	refusedUntil monotonicTime // end of the refusal
+	retrySet     bool          // a timer for a retry after the refusal is set
+	load         load          // of the waiting tasks
+	pressingLoad load          // of the waiting tasks of pressing jobs: urgent or with a deadline
+	headJob      *job          // head of the team's queue when last planned
+	headSince    monotonicTime // time from which headJob is at the head
+	unitsInUse   int64
+	stopping     resource.Vector // needs of the attempts being stopped
 }
 
 func (s *Scheduler) team(id ident.TeamID) *team {
 	t, ok := s.teams[id]
 	if !ok {
-		t = &team{Team: s.queue.Team(id), number: len(s.teamList), refused: math.MaxInt64}
+		t = &team{Team: s.queue.Team(id), number: len(s.teamList), refusedUnits: math.MaxInt64}
 		s.teams[id] = t
 		s.teamList = append(s.teamList, t)
 	}
@@ -54,61 +54,62 @@
 
 func (s *Scheduler) limitChanged(id ident.TeamID) {
 	if t, ok := s.teams[id]; ok {
-		t.refused = math.MaxInt64
+		t.refusedUnits = math.MaxInt64
 		s.dirty = true
 	}
 }
 
-// refusalFor is how long a refusal of units counts before they are tried again,
-// in case the word that more units came was lost.
-const refusalFor = time.Second
+// limitRetryDelay is the time after which refused units are requested again. The
+// retry covers a lost LimitChanged event.
+const limitRetryDelay = time.Second
 
-// tryUse takes limit units for tasks that start. If they are refused, work of
-// the team that needs as many is passed over until units come back. Once the
-// refused work is due, all work of the team waits, so that smaller work does
-// not use up every unit that comes back; but only for as long again, so that
-// work over the limit never stops its team for good.
-func (s *Scheduler) tryUse(t *team, units int64, due timeOf) bool {
+// tryUse takes limit units for tasks that start. After a refusal, work of the
+// team that needs as many units or more is skipped until units are returned.
+// Once the refused work is due, all work of the team waits; otherwise smaller
+// work would take every returned unit. This lasts Options.DueAfter at most, so
+// work that never gets its units cannot block its team forever.
+func (s *Scheduler) tryUse(t *team, units int64, due monotonicTime) bool {
 	if s.opts.Limits.TryUse(t.ID, units) {
 		t.unitsInUse += units
 		return true
 	}
-	t.refused = units
-	if s.now >= due && s.now < due+s.opts.Patience && !t.overLimit(units) {
-		t.refused = 1
+	t.refusedUnits = units
+	if s.now >= due && s.now < due+s.opts.DueAfter && !t.overLimit(units) {
+		t.refusedUnits = 1
 	}
-	t.refusedTil = s.now + refusalFor
-	if !t.retrying {
-		t.retrying = true
-		s.after(timer{at: t.refusedTil, kind: timerLimit, team: t})
+	t.refusedUntil = s.now + limitRetryDelay
+	if !t.retrySet {
+		t.retrySet = true
+		s.setTimer(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 	}
 	s.emit(Want{Team: t.ID, Units: units})
 	return false
 }
 
-// refusalPassed tries again after a refusal, or goes on waiting if there was
-// another one meanwhile.
-func (s *Scheduler) refusalPassed(t *team) {
-	if s.now < t.refusedTil {
-		s.after(timer{at: t.refusedTil, kind: timerLimit, team: t})
+// retryRefused retries after a refusal. If a later refusal is still in force,
+// it sets the timer again.
+func (s *Scheduler) retryRefused(t *team) {
+	if s.now < t.refusedUntil {
+		s.setTimer(timer{at: t.refusedUntil, kind: timerLimit, team: t})
 		return
 	}
-	t.retrying = false
+	t.retrySet = false
 	s.dirty = true
 }
 
-// overLimit reports whether so many units are never granted at once.
+// overLimit reports whether the units exceed the team's upper limit and can
+// never be granted together.
 func (t *team) overLimit(units int64) bool { return t.limit > 0 && units > t.limit }
 
-// blocked reports whether the upper limit stops work that needs the units.
+// blocked reports whether a refusal in force covers work that needs the units.
 func (s *Scheduler) blocked(t *team, units int64) bool {
-	return units >= t.refused && s.now < t.refusedTil
+	return units >= t.refusedUnits && s.now < t.refusedUntil
 }
 
-// doneUnits gives limit units back.
+// doneUnits returns limit units and clears the refusal.
 func (s *Scheduler) doneUnits(t *team, units int64) {
 	s.opts.Limits.Done(t.ID, units)
 	t.unitsInUse -= units
-	t.refused = math.MaxInt64
+	t.refusedUnits = math.MaxInt64
 	s.dirty = true
 }
