--- a/place/cell.go
+++ b/place/cell.go
@@ -6,50 +6,51 @@
 )
 
 // Ref is the position of a worker in a Cell. It is valid until the worker is
-// removed and may then be given to another worker.
+// removed; after that the position may be reused for another worker.
 type Ref int32
 
-// None is no worker.
+// None is the Ref that stands for no worker.
 const None Ref = -1
 
-// Bars are the reasons for which a worker takes no new task, as a set of bits.
+// Bars is a bit set of the reasons why a worker is unschedulable, that is,
+// takes no new tasks.
 type Bars uint8
 
-// The bars, in the order in which an explanation names them.
+// The bars, in the order in which an explanation reports them.
 const (
-	BarCordoned    Bars = 1 << iota // its lease is not held, or an operator set it aside
-	BarLeaving                      // a planned removal
-	BarQuarantined                  // fails what it starts
+	BarCordoned    Bars = 1 << iota // its lease is not held, or an operator cordoned it
+	BarLeaving                      // draining for a planned removal
+	BarQuarantined                  // quarantined because its tasks failed
 	BarProbing                      // runs a single trial task after a quarantine
-	BarBackoff                      // refused a start moments ago
-	BarHeld                         // kept for another job
+	BarBackoff                      // refused a start recently
+	BarHeld                         // reserved for another job
 )
 
-// Worker is the state of one worker. It is changed only through its Cell.
+// Worker is the state of one worker. It is modified only through its Cell.
 type Worker struct {
 	ID     ident.WorkerID
 	Rack   int32
 	Size   resource.Vector
-	Free   resource.Vector // size less reservations; negative only if the worker shrank
+	Free   resource.Vector // Size less reservations; negative if Size was reduced or Adopt exceeded it
 	Bars   Bars
 	Tasks  int32
-	Excess int64 // milli-processors that tasks were measured to use above their needs
+	Excess int64 // milli-CPU that tasks were measured to use beyond their needs
 
-	bucket int32 // in the index; noBucket if the worker is not in it
-	place  int32 // within the bucket
-	inRack int32
+	bucket    int32 // in the index; noBucket if the worker is not indexed
+	bucketPos int32 // position in the bucket
+	rackPos   int32 // position in the list of its rack
 }
 
-// Cell is the workers of one zone and the room on them.
+// Cell holds the workers of one zone and their free resources.
 type Cell struct {
-	workers []Worker
-	refs    map[ident.WorkerID]Ref
-	unused  []Ref
-	racks   rackSet
-	index   index
-	freed   freedLog
-	total   resource.Vector // of all workers
-	open    resource.Vector // free on workers without bars
+	workers   []Worker
+	refs      map[ident.WorkerID]Ref
+	unused    []Ref
+	racks     rackSet
+	index     index
+	freed     freedLog
+	total     resource.Vector // sizes of all workers
+	available resource.Vector // free on workers without bars
 }
 
 // NewCell returns a cell without workers.
@@ -57,14 +58,14 @@
 	return &Cell{refs: map[ident.WorkerID]Ref{}, racks: newRackSet(), index: newIndex()}
 }
 
-// Compute returns the part of v that the compute lease of a worker governs:
-// processors, memory and accelerators.
+// Compute returns the resources in v that the compute lease of a worker covers:
+// CPU, memory and accelerators.
 func Compute(v resource.Vector) resource.Vector {
 	return resource.Vector{MilliCPU: v.MilliCPU, MemoryMiB: v.MemoryMiB, Accelerators: v.Accelerators}
 }
 
-// Add adds a worker, or sets the size of a known one, and its rack if nothing
-// runs on it.
+// Add adds a worker and returns its position. If the worker is known, Add
+// updates its size, and its rack if no tasks run on it.
 func (c *Cell) Add(id ident.WorkerID, rack string, size resource.Vector) Ref {
 	size = Compute(size)
 	if ref, ok := c.refs[id]; ok {
@@ -76,7 +77,7 @@
 	c.workers[ref] = Worker{ID: id, Size: size, Free: size, bucket: noBucket}
 	c.racks.add(c.workers, ref, rack)
 	c.total = c.total.Add(size)
-	c.enter(ref)
+	c.addCandidate(ref)
 	return ref
 }
 
@@ -92,7 +93,7 @@
 
 func (c *Cell) resize(ref Ref, rack string, size resource.Vector) {
 	w := &c.workers[ref]
-	c.leave(ref)
+	c.removeCandidate(ref)
 	c.total = c.total.Sub(w.Size).Add(size)
 	w.Free = w.Free.Sub(w.Size).Add(size)
 	w.Size = size
@@ -100,13 +101,13 @@
 		c.racks.remove(c.workers, ref)
 		c.racks.add(c.workers, ref, rack)
 	}
-	c.enter(ref)
+	c.addCandidate(ref)
 }
 
-// Remove forgets a worker and everything that is reserved on it.
+// Remove removes a worker and all reservations on it.
 func (c *Cell) Remove(ref Ref) {
 	w := &c.workers[ref]
-	c.leave(ref)
+	c.removeCandidate(ref)
 	c.racks.remove(c.workers, ref)
 	c.total = c.total.Sub(w.Size)
 	delete(c.refs, w.ID)
@@ -114,52 +115,53 @@
 	c.unused = append(c.unused, ref)
 }
 
-// Lookup returns the position of a worker.
+// Lookup returns the position of a worker and whether the worker is known.
 func (c *Cell) Lookup(id ident.WorkerID) (Ref, bool) {
 	ref, ok := c.refs[id]
 	return ref, ok
 }
 
-// Worker returns a worker to read from.
+// Worker returns the worker at ref. Callers must not modify it.
 func (c *Cell) Worker(ref Ref) *Worker { return &c.workers[ref] }
 
 // Len returns the number of workers.
 func (c *Cell) Len() int { return len(c.refs) }
 
-// Refs returns the number of positions, used or not.
+// Refs returns the number of positions, including unused ones.
 func (c *Cell) Refs() int { return len(c.workers) }
 
-// Known reports whether ref holds a worker now.
+// Known reports whether a worker is at position ref.
 func (c *Cell) Known(ref Ref) bool { return c.workers[ref].ID != "" }
 
 // Total returns the sum of the sizes of all workers.
 func (c *Cell) Total() resource.Vector { return c.total }
 
-// Open returns the free room on workers that take new tasks.
-func (c *Cell) Open() resource.Vector { return c.open }
+// Open returns the sum of the free resources on workers without bars.
+func (c *Cell) Open() resource.Vector { return c.available }
 
-// Bar sets a reason for which the worker takes no new task.
+// Bar sets a bar on the worker, which excludes it from placement.
 func (c *Cell) Bar(ref Ref, bar Bars) {
 	w := &c.workers[ref]
 	if w.Bars&bar != 0 {
 		return
 	}
-	c.leave(ref)
+	c.removeCandidate(ref)
 	w.Bars |= bar
 }
 
-// Unbar clears a reason for which the worker takes no new task.
+// Unbar clears bars of the worker. Without any bar left, the worker is a
+// candidate again.
 func (c *Cell) Unbar(ref Ref, bar Bars) {
 	w := &c.workers[ref]
 	if w.Bars&bar == 0 {
 		return
 	}
 	w.Bars &^= bar
-	c.enter(ref)
+	c.addCandidate(ref)
 }
 
-// Reserve takes room for one task. It reports false, and changes nothing, if
-// the need is over what is free.
+// Reserve reserves resources for one task. It changes nothing and returns
+// false if the need exceeds the free resources.
 func (c *Cell) Reserve(ref Ref, need resource.Vector) bool {
 	if !need.Fits(c.workers[ref].Free) {
 		return false
@@ -168,18 +170,20 @@
 	return true
 }
 
-// Adopt takes room for a task that runs already, whether it fits or not.
+// Adopt reserves resources for a task that already runs, even if the need
+// exceeds the free resources.
 func (c *Cell) Adopt(ref Ref, need resource.Vector) {
 	w := &c.workers[ref]
 	w.Free = w.Free.Sub(need)
 	w.Tasks++
 	if w.Bars == 0 {
-		c.open = c.open.Sub(need)
+		c.available = c.available.Sub(need)
 		c.index.move(c.workers, ref)
 	}
 }
 
-// Release gives the room of one task back.
+// Release returns the resources of a task that has ended and records the
+// worker in the log of freed resources.
 func (c *Cell) Release(ref Ref, need resource.Vector) {
 	c.Undo(ref, need)
 	if c.workers[ref].Bars&^BarHeld == 0 {
@@ -187,72 +191,76 @@
 	}
 }
 
-// Undo gives back a reservation that was never used, so that no waiting work
-// is looked at again because of it.
+// Undo reverts a reservation that was never used. Unlike Release it does not
+// record the worker as freed, so pending work is not retried because of it.
 func (c *Cell) Undo(ref Ref, need resource.Vector) {
 	w := &c.workers[ref]
 	w.Free = w.Free.Add(need)
 	w.Tasks--
 	if w.Bars == 0 {
-		c.open = c.open.Add(need)
+		c.available = c.available.Add(need)
 		c.index.move(c.workers, ref)
 	}
 }
 
-// Measured changes the sum of what the worker's tasks use above their needs.
+// Measured adds change, in milli-CPU, to the Excess of the worker.
 func (c *Cell) Measured(ref Ref, change int64) { c.workers[ref].Excess += change }
 
-// enter makes the worker a candidate for new tasks, if it has no bars.
-func (c *Cell) enter(ref Ref) {
+// addCandidate adds the worker to the index and records it as freed, unless it
+// has bars or is indexed already.
+func (c *Cell) addCandidate(ref Ref) {
 	w := &c.workers[ref]
 	if w.Bars != 0 || w.bucket != noBucket {
 		return
 	}
-	c.open = c.open.Add(w.Free)
+	c.available = c.available.Add(w.Free)
 	c.index.insert(c.workers, ref)
 	c.freed.add(ref)
 }
 
-// leave ends what enter began.
-func (c *Cell) leave(ref Ref) {
+// removeCandidate removes the worker from the index if it is indexed.
+func (c *Cell) removeCandidate(ref Ref) {
 	w := &c.workers[ref]
 	if w.bucket == noBucket {
 		return
 	}
-	c.open = c.open.Sub(w.Free)
+	c.available = c.available.Sub(w.Free)
 	c.index.remove(c.workers, ref)
 }
 
-// Largest returns, for each resource on its own, the most that any worker has.
+// Largest returns the maximum size over all workers, for each resource
+// separately.
 func (c *Cell) Largest() resource.Vector {
-	var most resource.Vector
+	var largest resource.Vector
 	for i := range c.workers {
 		size := c.workers[i].Size
-		most.MilliCPU = max(most.MilliCPU, size.MilliCPU)
-		most.MemoryMiB = max(most.MemoryMiB, size.MemoryMiB)
-		most.Accelerators = max(most.Accelerators, size.Accelerators)
+		largest.MilliCPU = max(largest.MilliCPU, size.MilliCPU)
+		largest.MemoryMiB = max(largest.MemoryMiB, size.MemoryMiB)
+		largest.Accelerators = max(largest.Accelerators, size.Accelerators)
 	}
-	return most
+	return largest
 }
 
-// Slots returns how many tasks of the need the sizes of all workers hold, up
-// to most. Barred workers count: they may come back.
-func (c *Cell) Slots(need resource.Vector, most int64) int64 {
-	slots := int64(0)
+// Slots returns how many tasks with the need fit on all workers when they are
+// empty, at most maxTasks. Workers with bars are counted, because the bars may
+// be cleared later.
+func (c *Cell) Slots(need resource.Vector, maxTasks int64) int64 {
+	tasks := int64(0)
 	for i := range c.workers {
 		if c.workers[i].ID != "" {
-			slots += Count(need, c.workers[i].Size, most-slots)
+			tasks += Count(need, c.workers[i].Size, maxTasks-tasks)
 		}
-		if slots >= most {
-			return most
+		if tasks >= maxTasks {
+			return maxTasks
 		}
 	}
-	return slots
+	return tasks
 }
 
-// Count returns how many tasks of the need fit the room, up to most.
-func Count(need, room resource.Vector, most int64) int64 {
-	n := max(most, 0)
+// Count returns how many tasks with the need fit into room, at most maxTasks.
+// Negative resources in room count as zero.
+func Count(need, room resource.Vector, maxTasks int64) int64 {
+	n := max(maxTasks, 0)
 	for _, pair := range [...][2]int64{
 		{need.MilliCPU, room.MilliCPU},
 		{need.MemoryMiB, room.MemoryMiB},
--- a/place/doc.go
+++ b/place/doc.go
@@ -1,14 +1,14 @@
 // Package place chooses a worker for a task.
 //
-// A Cell holds the workers of one zone with the room that is reserved on each.
-// A Placer runs a chain of small iterators over it:
+// A Cell holds the workers of one zone and the resources reserved on each.
+// A Placer runs a chain of iterators over it:
 //
-//	source -> feasible -> limit -> select (by rank)
+//	source -> feasible -> limit -> select (by score)
 //
-// The source yields workers from an index of free room, so that workers that
-// are too full are never looked at. feasible drops workers that cannot take
-// the task and counts why. limit ends the search after enough workers were
-// found. select keeps the best by rank. No step allocates.
+// The source yields workers from an index of free resources, which skips
+// workers that are too full. feasible filters out workers that cannot run the
+// task and counts the reasons. limit ends the search after a number of feasible
+// workers. select keeps the worker with the best score. No step allocates.
 //
 // The package does no I/O, reads no clock and is not safe for concurrent use.
 package place
--- a/place/feasible.go
+++ b/place/feasible.go
@@ -2,10 +2,11 @@
 
 import "github.com/fireflyfold/fireflyfold/resource"
 
-// Reason is why a worker was turned away.
+// Reason is why a worker failed the feasibility check.
 type Reason int
 
-// The reasons. Those for bars come in the order of the bars.
+// The reasons. Those for bars come first, in the order of the bars:
+// rejectReason uses a Reason as the bit number of its bar.
 const (
 	Cordoned Reason = iota
 	Leaving
@@ -33,18 +34,19 @@
 	NoAccelerator: "not enough free accelerators",
 }
 
-// String names the reason.
+// String returns the reason as it is reported to operators.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Rejections counts workers by the reason they were turned away for.
+// Rejections counts the rejected workers by Reason.
 type Rejections [numReasons]int32
 
-// feasible passes on the workers that can take the need now.
+// feasible yields the workers of its source that can run a task with the need
+// now, and counts the others.
 type feasible struct {
 	cell     *Cell
 	from     source
 	need     resource.Vector
-	ignore   Bars // bars that do not count
+	ignore   Bars // bars that do not make a worker infeasible
 	rejected Rejections
 }
 
@@ -58,12 +60,13 @@
 		if w.Bars&^f.ignore == 0 && f.need.Fits(w.Free) {
 			return ref
 		}
-		f.rejected[why(w, &f.need, f.ignore)]++
+		f.rejected[rejectReason(w, &f.need, f.ignore)]++
 	}
 }
 
-// why returns the first reason against placing the need on the worker.
-func why(w *Worker, need *resource.Vector, ignore Bars) Reason {
+// rejectReason returns the first reason why the need cannot be placed on the
+// worker.
+func rejectReason(w *Worker, need *resource.Vector, ignore Bars) Reason {
 	if bars := w.Bars &^ ignore; bars != 0 {
 		for reason := Cordoned; ; reason++ {
 			if bars&(1<<reason) != 0 {
--- a/place/index.go
+++ b/place/index.go
@@ -6,20 +6,20 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// The index sorts workers into buckets by the levels of their free processors,
-// memory and accelerators. Levels grow by half octaves, so that a bucket spans
-// at most a factor of 1.5 in each resource.
+// The index sorts workers into buckets by the levels of their free CPU, memory
+// and accelerators. Levels grow by half octaves, so a bucket spans at most a
+// factor of 1.5 in each resource.
 const (
-	levels      = 32 // of processors and of memory
+	levels      = 32 // of CPU and of memory
 	layers      = 5  // of accelerators: none, 1, 2-3, 4-7, 8 or more
-	unit        = 64 // milli-processors or MiB in the lowest level
+	levelUnit   = 64 // milli-CPU or MiB below which the level is 0
 	buckets     = layers * levels * levels
 	noBucket    = int32(-1)
 	layerStride = levels * levels
 )
 
-// index holds the workers that take new tasks. rows has one bit for each
-// bucket that is not empty.
+// index holds the workers without bars. A row contains the buckets of one
+// layer and one CPU level; rows has a bit for each bucket that is not empty.
 type index struct {
 	buckets [][]Ref
 	rows    [layers * levels]uint32
@@ -27,12 +27,12 @@
 
 func newIndex() index { return index{buckets: make([][]Ref, buckets)} }
 
-// level returns the half octave of an amount.
+// level returns the half octave of an amount of CPU or memory.
 func level(amount int64) int {
-	if amount < unit {
+	if amount < levelUnit {
 		return 0
 	}
-	scaled := uint64(amount / unit)
+	scaled := uint64(amount / levelUnit)
 	octave := bits.Len64(scaled)
 	half := 0
 	if octave > 1 {
@@ -54,7 +54,7 @@
 func (x *index) insert(workers []Worker, ref Ref) {
 	w := &workers[ref]
 	w.bucket = bucketOf(&w.Free)
-	w.place = int32(len(x.buckets[w.bucket]))
+	w.bucketPos = int32(len(x.buckets[w.bucket]))
 	x.buckets[w.bucket] = append(x.buckets[w.bucket], ref)
 	x.rows[w.bucket/levels] |= 1 << (w.bucket % levels)
 }
@@ -63,8 +63,8 @@
 	w := &workers[ref]
 	list := x.buckets[w.bucket]
 	last := list[len(list)-1]
-	list[w.place] = last
-	workers[last].place = w.place
+	list[w.bucketPos] = last
+	workers[last].bucketPos = w.bucketPos
 	x.buckets[w.bucket] = list[:len(list)-1]
 	if len(list) == 1 {
 		x.rows[w.bucket/levels] &^= 1 << (w.bucket % levels)
@@ -72,7 +72,7 @@
 	w.bucket = noBucket
 }
 
-// move puts the worker into the bucket of its free room.
+// move moves the worker to the bucket that matches its free resources.
 func (x *index) move(workers []Worker, ref Ref) {
 	w := &workers[ref]
 	if bucketOf(&w.Free) == w.bucket {
--- a/place/limit.go
+++ b/place/limit.go
@@ -1,18 +1,19 @@
 package place
 
-// enough is how many feasible workers a search of the index compares.
-const enough = 16
+// maxCandidates is the number of feasible workers that a search of the index
+// scores.
+const maxCandidates = 16
 
-// limit ends the search after a number of workers.
+// limit ends the search after a number of feasible workers.
 type limit struct {
-	from *feasible
-	left int
+	from      *feasible
+	remaining int
 }
 
 func (l *limit) next() Ref {
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return None
 	}
-	l.left--
+	l.remaining--
 	return l.from.next()
 }
--- a/place/rack.go
+++ b/place/rack.go
@@ -1,6 +1,6 @@
 package place
 
-// rackSet numbers the racks and lists the workers of each.
+// rackSet assigns numbers to racks and lists the workers of each.
 type rackSet struct {
 	names   []string
 	numbers map[string]int32
@@ -19,7 +19,7 @@
 	}
 	w := &workers[ref]
 	w.Rack = rack
-	w.inRack = int32(len(r.workers[rack]))
+	w.rackPos = int32(len(r.workers[rack]))
 	r.workers[rack] = append(r.workers[rack], ref)
 }
 
@@ -27,13 +27,13 @@
 	w := &workers[ref]
 	list := r.workers[w.Rack]
 	last := list[len(list)-1]
-	list[w.inRack] = last
-	workers[last].inRack = w.inRack
+	list[w.rackPos] = last
+	workers[last].rackPos = w.rackPos
 	r.workers[w.Rack] = list[:len(list)-1]
 }
 
-// Racks returns the number of racks seen so far.
+// Racks returns the number of racks seen so far, including empty ones.
 func (c *Cell) Racks() int { return len(c.racks.names) }
 
-// RackName returns the name of a rack.
+// RackName returns the name of the rack with the given number.
 func (c *Cell) RackName(rack int32) string { return c.racks.names[rack] }
--- a/place/select.go
+++ b/place/select.go
@@ -6,10 +6,10 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// everyOne is a limit that ends no search.
-const everyOne = math.MaxInt
+// noLimit disables a limit on the number of workers.
+const noLimit = math.MaxInt
 
-// Placer finds workers for tasks in one Cell.
+// Placer selects workers for tasks in one Cell.
 type Placer struct {
 	cell     *Cell
 	index    indexSource
@@ -17,10 +17,10 @@
 	all      allSource
 	feasible feasible
 	limit    limit
-	ranking  ranking
+	scoring  scoring
 }
 
-// NewPlacer returns a placer for the cell.
+// NewPlacer returns a Placer for the cell.
 func NewPlacer(cell *Cell) *Placer {
 	p := &Placer{cell: cell}
 	p.index.index = &cell.index
@@ -30,47 +30,50 @@
 	return p
 }
 
-// Pack returns a worker that the need fills well, or None if it fits nowhere.
-// The worker avoid is taken only if there is no other.
+// Pack returns a worker that has few free resources left once the task is
+// placed on it, or None if the need fits no worker. It returns the worker
+// avoid only if no other candidate fits.
 func (p *Placer) Pack(need resource.Vector, avoid Ref) Ref {
-	p.index.down = false
-	return p.searchIndex(need, avoid, packed)
+	p.index.descending = false
+	return p.searchIndex(need, avoid, scorePacked)
 }
 
-// Emptiest returns a worker with much free room, or None if the need fits
-// nowhere. The worker avoid is taken only if there is no other.
+// Emptiest returns a worker with many free resources, or None if the need fits
+// no worker. It returns the worker avoid only if no other candidate fits.
 func (p *Placer) Emptiest(need resource.Vector, avoid Ref) Ref {
-	p.index.down = true
-	return p.searchIndex(need, avoid, emptiest)
+	p.index.descending = true
+	return p.searchIndex(need, avoid, scoreEmptiest)
 }
 
-// searchIndex looks at a sample of each bucket, and at all if none fits.
-func (p *Placer) searchIndex(need resource.Vector, avoid Ref, by rank) Ref {
-	p.ranking = ranking{need: need, avoid: avoid}
-	p.index.reset(&need, sampleOf)
-	best := p.search(need, &p.index, 0, enough, by)
-	if best == None && p.index.cut {
-		p.index.reset(&need, everyOne)
-		best = p.search(need, &p.index, 0, enough, by)
+// searchIndex searches a sample of each bucket, and all workers of the buckets
+// if no worker in the samples fits.
+func (p *Placer) searchIndex(need resource.Vector, avoid Ref, score scoreFunc) Ref {
+	p.scoring = scoring{need: need, avoid: avoid}
+	p.index.reset(&need, bucketSample)
+	best := p.search(need, &p.index, 0, maxCandidates, score)
+	if best == None && p.index.truncated {
+		p.index.reset(&need, noLimit)
+		best = p.search(need, &p.index, 0, maxCandidates, score)
 	}
 	return best
 }
 
-// PackIn is Pack over a list of workers that may be barred by the bars ignore.
+// PackIn is like Pack, but considers only the workers in refs and disregards
+// the bars in ignore.
 func (p *Placer) PackIn(refs []Ref, ignore Bars, need resource.Vector) Ref {
-	p.ranking = ranking{need: need, avoid: None}
+	p.scoring = scoring{need: need, avoid: None}
 	p.list.reset(refs)
-	return p.search(need, &p.list, ignore, everyOne, packed)
+	return p.search(need, &p.list, ignore, noLimit, scorePacked)
 }
 
-// FirstFit returns the first worker in the order of positions that fits.
+// FirstFit returns the feasible worker at the lowest position, or None.
 func (p *Placer) FirstFit(need resource.Vector) Ref {
 	p.all.at = 0
-	return p.search(need, &p.all, 0, 1, first)
+	return p.search(need, &p.all, 0, 1, scoreEqual)
 }
 
-// Why counts, over all workers, why the need does not fit, and returns how
-// many workers could take it.
+// Why checks the need against all workers, disregarding the bars in ignore. It
+// returns the rejections by reason and the number of feasible workers.
 func (p *Placer) Why(need resource.Vector, ignore Bars) (Rejections, int) {
 	p.all.at = 0
 	p.feasible.from = &p.all
@@ -84,21 +87,21 @@
 	return p.feasible.rejected, fitting
 }
 
-// Rejections returns the counts of the last search. Workers that the index
-// passed over are not in it.
+// Rejections returns the rejections of the last search. Workers that the index
+// skipped are not counted.
 func (p *Placer) Rejections() Rejections { return p.feasible.rejected }
 
-// search runs the chain and returns the worker with the lowest rank, the first
-// such one if there are several.
-func (p *Placer) search(need resource.Vector, from source, ignore Bars, most int, by rank) Ref {
+// search scores at most maxFeasible feasible workers of the source and returns
+// the one with the lowest score, the first of equals, or None.
+func (p *Placer) search(need resource.Vector, from source, ignore Bars, maxFeasible int, scoreOf scoreFunc) Ref {
 	p.feasible.from = from
 	p.feasible.need = need
 	p.feasible.ignore = ignore
 	p.feasible.rejected = Rejections{}
-	p.limit.left = most
+	p.limit.remaining = maxFeasible
 	best, lowest := None, int64(math.MaxInt64)
 	for ref := p.limit.next(); ref != None; ref = p.limit.next() {
-		if score := by(&p.ranking, ref, &p.cell.workers[ref]); score < lowest {
+		if score := scoreOf(&p.scoring, ref, &p.cell.workers[ref]); score < lowest {
 			best, lowest = ref, score
 		}
 	}
--- a/place/source.go
+++ b/place/source.go
@@ -6,10 +6,10 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// source yields workers until it returns None.
+// source yields workers one by one, then None.
 type source interface{ next() Ref }
 
-// listSource yields the workers of a list in order.
+// listSource yields the workers of a list in list order.
 type listSource struct {
 	refs []Ref
 	at   int
@@ -26,7 +26,7 @@
 	return ref
 }
 
-// allSource yields every worker of the cell in order of position.
+// allSource yields all workers of the cell in order of position.
 type allSource struct {
 	cell *Cell
 	at   Ref
@@ -43,42 +43,44 @@
 	return None
 }
 
-// sampleOf is how many workers of one bucket are looked at in a first pass.
-// Buckets near the need hold workers that are just too full; looking at all
-// of them would let the cost of a placement grow with the cell.
-const sampleOf = 32
-
-// indexSource yields the workers of the index that may have room, those with
-// the least room first, or with the most if down is set. Workers without free
-// accelerators come first either way if the need has none. At most `most`
-// workers of each bucket are yielded, starting at a place that turn moves on.
+// bucketSample is the maximum number of workers of one bucket that the first
+// pass of a search checks. Buckets near the need contain many workers that are
+// slightly too full; checking all of them would make the cost of a placement
+// grow with the size of the cell.
+const bucketSample = 32
+
+// indexSource yields the workers of the index that may fit the need, those with
+// the fewest free resources first, or the most if descending is set. Either
+// way, workers with fewer free accelerators come first. It yields at most
+// maxPerBucket workers of each bucket; sampleOffset advances with each sample
+// and sets the worker at which the next one starts.
 type indexSource struct {
-	index *index
-	down  bool
-	most  int
-	turn  int
-
-	cpu, memory int // lowest levels
-	row         int // of the index
-	mask        uint32
-	bucket      []Ref
-	at, left    int
-	cut         bool // some bucket was not yielded whole
+	index        *index
+	descending   bool
+	maxPerBucket int
+	sampleOffset int
+
+	minCPU, minMemory int // levels of the need
+	row               int // of the index
+	mask              uint32
+	bucket            []Ref
+	at, left          int
+	truncated         bool // at least one bucket was only sampled
 }
 
-func (s *indexSource) reset(need *resource.Vector, most int) {
-	s.most = most
-	s.cpu, s.memory = level(need.MilliCPU), level(need.MemoryMiB)
-	s.row = layer(need.Accelerators)*levels + s.cpu
-	if s.down {
-		s.row += levels - 1 - s.cpu
+func (s *indexSource) reset(need *resource.Vector, maxPerBucket int) {
+	s.maxPerBucket = maxPerBucket
+	s.minCPU, s.minMemory = level(need.MilliCPU), level(need.MemoryMiB)
+	s.row = layer(need.Accelerators)*levels + s.minCPU
+	if s.descending {
+		s.row += levels - 1 - s.minCPU
 	}
 	s.mask = s.rowMask()
 	s.left = 0
-	s.cut = false
+	s.truncated = false
 }
 
-func (s *indexSource) rowMask() uint32 { return s.index.rows[s.row] &^ (1<<s.memory - 1) }
+func (s *indexSource) rowMask() uint32 { return s.index.rows[s.row] &^ (1<<s.minMemory - 1) }
 
 func (s *indexSource) next() Ref {
 	for s.left == 0 {
@@ -104,32 +106,32 @@
 		s.mask = s.rowMask()
 	}
 	memory := bits.TrailingZeros32(s.mask)
-	if s.down {
+	if s.descending {
 		memory = bits.Len32(s.mask) - 1
 	}
 	s.mask &^= 1 << memory
 	s.bucket = s.index.buckets[s.row*levels+memory]
-	s.left = min(len(s.bucket), s.most)
+	s.left = min(len(s.bucket), s.maxPerBucket)
 	s.at = 0
 	if s.left < len(s.bucket) {
-		s.cut = true
-		s.turn += s.left
-		s.at = s.turn % len(s.bucket)
+		s.truncated = true
+		s.sampleOffset += s.left
+		s.at = s.sampleOffset % len(s.bucket)
 	}
 	return true
 }
 
-// nextRow moves on to the next level of processors, and behind the last one to
-// the first of the next layer.
+// nextRow advances to the next CPU level, and after the last one to the first
+// of the next layer.
 func (s *indexSource) nextRow() {
 	switch {
-	case !s.down:
+	case !s.descending:
 		s.row++
 		if s.row%levels == 0 {
-			s.row += s.cpu
+			s.row += s.minCPU
 		}
-	case s.row%levels == s.cpu:
-		s.row += 2*levels - 1 - s.cpu
+	case s.row%levels == s.minCPU:
+		s.row += 2*levels - 1 - s.minCPU
 	default:
 		s.row--
 	}
--- a/place/spread.go
+++ b/place/spread.go
@@ -4,18 +4,18 @@
 
 // Spread counts the replicas of one service by worker and rack.
 type Spread struct {
-	workers map[Ref]int32
-	racks   []int32
-	most    int32
+	workers    map[Ref]int32
+	racks      []int32
+	maxPerRack int32
 }
 
-// NewSpread returns an empty count.
+// NewSpread returns counts without replicas.
 func NewSpread() *Spread { return &Spread{workers: map[Ref]int32{}} }
 
-// On returns the replicas on a worker.
+// On returns the number of replicas on a worker.
 func (s *Spread) On(ref Ref) int32 { return s.workers[ref] }
 
-// InRack returns the replicas in a rack.
+// InRack returns the number of replicas in a rack.
 func (s *Spread) InRack(rack int32) int32 {
 	if int(rack) >= len(s.racks) {
 		return 0
@@ -23,46 +23,49 @@
 	return s.racks[rack]
 }
 
-// Add counts one replica more (change 1) or less (change -1).
-func (s *Spread) Add(c *Cell, ref Ref, change int32) {
+// Add adds delta to the replicas on a worker and in its rack: 1 for a new
+// replica, -1 for one that has ended.
+func (s *Spread) Add(c *Cell, ref Ref, delta int32) {
 	rack := c.workers[ref].Rack
 	for int(rack) >= len(s.racks) {
 		s.racks = append(s.racks, 0)
 	}
-	s.racks[rack] += change
-	s.most = max(s.most, s.racks[rack])
-	s.workers[ref] += change
+	s.racks[rack] += delta
+	s.maxPerRack = max(s.maxPerRack, s.racks[rack])
+	s.workers[ref] += delta
 	if s.workers[ref] == 0 {
 		delete(s.workers, ref)
 	}
 }
 
-// Spread returns a worker for one more replica: in a rack with the fewest of
-// them that has room, the worker there with the fewest and the most room. It
-// returns None if the need fits nowhere.
-func (p *Placer) Spread(need resource.Vector, count *Spread, avoid Ref) Ref {
-	for replicas := int32(0); replicas <= count.most; replicas++ {
-		if ref := p.inRacksWith(replicas, need, count, avoid); ref != None {
+// Spread returns a worker for one more replica, or None if the need fits no
+// worker. It takes the racks with the fewest replicas that have a feasible
+// worker, and in these the worker with the fewest replicas, then the most free
+// resources. It returns the worker avoid only if no other in these racks fits.
+func (p *Placer) Spread(need resource.Vector, counts *Spread, avoid Ref) Ref {
+	for perRack := int32(0); perRack <= counts.maxPerRack; perRack++ {
+		if ref := p.searchRacksWith(perRack, need, counts, avoid); ref != None {
 			return ref
 		}
 	}
 	return None
 }
 
-// inRacksWith returns the best worker over all racks with so many replicas.
-func (p *Placer) inRacksWith(replicas int32, need resource.Vector, count *Spread, avoid Ref) Ref {
-	p.ranking = ranking{need: need, avoid: avoid, count: count}
+// searchRacksWith returns the best worker in all racks with perRack replicas,
+// or None.
+func (p *Placer) searchRacksWith(perRack int32, need resource.Vector, counts *Spread, avoid Ref) Ref {
+	p.scoring = scoring{need: need, avoid: avoid, counts: counts}
 	best, lowest := None, int64(0)
 	for rack := range p.cell.racks.workers {
-		if count.InRack(int32(rack)) != replicas {
+		if counts.InRack(int32(rack)) != perRack {
 			continue
 		}
 		p.list.reset(p.cell.racks.workers[rack])
-		ref := p.search(need, &p.list, 0, everyOne, spread)
+		ref := p.search(need, &p.list, 0, noLimit, scoreSpread)
 		if ref == None {
 			continue
 		}
-		score := spread(&p.ranking, ref, &p.cell.workers[ref])
+		score := scoreSpread(&p.scoring, ref, &p.cell.workers[ref])
 		if best == None || score < lowest {
 			best, lowest = ref, score
 		}
