--- a/place/place_test.go
+++ b/place/place_test.go
@@ -10,31 +10,31 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// The index finds a worker exactly if a look at all workers does.
-func TestIndexAgreesWithAllWorkers(t *testing.T) {
+// The index must find a worker if and only if a scan of all workers finds one.
+func TestIndexFindsWorkerExactlyWhenFullScanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cell := NewCell()
 		placer := NewPlacer(cell)
 		n := rapid.IntRange(1, 120).Draw(t, "workers")
 		for i := range n {
-			cell.Add(ident.WorkerID(fmt.Sprint(i)), fmt.Sprint(i/6), amount(t, 64))
+			cell.Add(ident.WorkerID(fmt.Sprint(i)), fmt.Sprint(i/6), randomResources(t, 64))
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			change(t, cell, placer)
-			need := amount(t, 16)
+			randomChange(t, cell, placer)
+			need := randomResources(t, 16)
 			_, fitting := placer.Why(need, 0)
 			if ref := placer.Pack(need, None); (ref != None) != (fitting > 0) {
-				t.Fatalf("%d workers fit %s, the index gave %d", fitting, need, ref)
+				t.Fatalf("%d workers fit %s, Pack returned %d", fitting, need, ref)
 			}
 			if ref := placer.Emptiest(need, None); (ref != None) != (fitting > 0) {
-				t.Fatalf("%d workers fit %s, the index from its end gave %d", fitting, need, ref)
+				t.Fatalf("%d workers fit %s, Emptiest returned %d", fitting, need, ref)
 			}
 		}
-		checkOpen(t, cell)
+		checkAvailable(t, cell)
 	})
 }
 
-func amount(t *rapid.T, most int) resource.Vector {
+func randomResources(t *rapid.T, most int) resource.Vector {
 	return resource.Vector{
 		MilliCPU:     int64(rapid.IntRange(0, most).Draw(t, "cpu")) * 300,
 		MemoryMiB:    int64(rapid.IntRange(0, most).Draw(t, "memory")) * 700,
@@ -42,10 +42,10 @@
 	}
 }
 
-// change reserves, bars, removes or adds at random.
-func change(t *rapid.T, cell *Cell, placer *Placer) {
+// randomChange makes a reservation, sets or clears a bar, or removes a worker.
+func randomChange(t *rapid.T, cell *Cell, placer *Placer) {
 	ref := Ref(rapid.IntRange(0, cell.Refs()-1).Draw(t, "ref"))
-	need := amount(t, 16)
+	need := randomResources(t, 16)
 	switch rapid.IntRange(0, 5).Draw(t, "change") {
 	case 0:
 		cell.Bar(ref, BarCordoned)
@@ -59,51 +59,51 @@
 		}
 	default:
 		if found := placer.Pack(need, None); found != None && !cell.Reserve(found, need) {
-			t.Fatalf("%s does not fit the worker that was found", need)
+			t.Fatalf("%s does not fit the worker that Pack returned", need)
 		}
 	}
 }
 
-func checkOpen(t *rapid.T, cell *Cell) {
-	var open resource.Vector
+func checkAvailable(t *rapid.T, cell *Cell) {
+	var available resource.Vector
 	for i := range cell.workers {
 		w := &cell.workers[i]
 		if w.ID != "" && w.Bars == 0 {
-			open = open.Add(w.Free)
+			available = available.Add(w.Free)
 		}
 		if w.Free.Negative() {
-			t.Fatalf("worker %s is over its size: %s free", w.ID, w.Free)
+			t.Fatalf("worker %s is overcommitted: %s free", w.ID, w.Free)
 		}
 	}
-	if open != cell.Open() {
-		t.Fatalf("open room is counted as %s, is %s", cell.Open(), open)
+	if available != cell.Open() {
+		t.Fatalf("free resources counted as %s, want %s", cell.Open(), available)
 	}
 }
 
-// Replicas go to the racks with the fewest, and within a rack to the workers
-// with the fewest.
-func TestSpreadOverRacks(t *testing.T) {
+// Replicas must go to the racks with the fewest replicas, and within a rack to
+// the workers with the fewest.
+func TestSpreadBalancesReplicasOverRacksAndWorkers(t *testing.T) {
 	cell := NewCell()
 	placer := NewPlacer(cell)
 	for i := range 12 {
 		cell.Add(ident.WorkerID(fmt.Sprint(i)), fmt.Sprint(i/4), resource.Vector{MilliCPU: 4000, MemoryMiB: 4096})
 	}
 	need := resource.Vector{MilliCPU: 1000}
-	count := NewSpread()
+	counts := NewSpread()
 	for range 12 {
-		ref := placer.Spread(need, count, None)
+		ref := placer.Spread(need, counts, None)
 		cell.Reserve(ref, need)
-		count.Add(cell, ref, 1)
+		counts.Add(cell, ref, 1)
 	}
 	for i := range 12 {
-		if got := count.On(Ref(i)); got != 1 {
+		if got := counts.On(Ref(i)); got != 1 {
 			t.Errorf("worker %d has %d replicas, want 1", i, got)
 		}
 	}
 }
 
-// Equal tasks that are spread fill alike workers evenly; packed, they fill one
-// after the other.
+// Emptiest must distribute equal tasks evenly over equal workers; Pack must
+// fill one worker after the other.
 func TestEmptiestFillsEvenly(t *testing.T) {
 	need := resource.Vector{MilliCPU: 1000, MemoryMiB: 512}
 	const workers, tasks = 6, 12
@@ -124,15 +124,15 @@
 		return n
 	}
 	if n := busy((*Placer).Emptiest); n != workers {
-		t.Errorf("%d of %d workers have their even part when tasks are spread", n, workers)
+		t.Errorf("Emptiest: %d of %d workers have the same number of tasks", n, workers)
 	}
 	if n := busy((*Placer).Pack); n != 0 {
-		t.Errorf("%d workers have an even part when tasks are packed", n)
+		t.Errorf("Pack: %d workers have the average number of tasks, want 0", n)
 	}
 }
 
-// The one empty worker among many that are half full gets the next task.
-func TestEmptiestFindsTheOneEmptyWorker(t *testing.T) {
+// Emptiest must select the only empty worker among many that are half full.
+func TestEmptiestFindsSingleEmptyWorker(t *testing.T) {
 	cell := NewCell()
 	placer := NewPlacer(cell)
 	const workers, empty = 64, Ref(40)
@@ -147,9 +147,9 @@
 	}
 }
 
-// Work without accelerators leaves workers with accelerators alone while there
-// are others.
-func TestAcceleratorsAreLeftForThoseWhoNeedThem(t *testing.T) {
+// A task that needs no accelerators must not go to a worker with accelerators
+// while another worker fits.
+func TestPackAvoidsIdleAccelerators(t *testing.T) {
 	cell := NewCell()
 	placer := NewPlacer(cell)
 	plain := cell.Add("plain", "r", resource.Vector{MilliCPU: 64000, MemoryMiB: 65536})
@@ -159,17 +159,16 @@
 	}
 }
 
-// A placement does not allocate.
 func TestPlacementDoesNotAllocate(t *testing.T) {
-	cell, placer := filled(800)
+	cell, placer := filledCell(800)
 	need := resource.Vector{MilliCPU: 1500, MemoryMiB: 2000}
-	if n := testing.AllocsPerRun(1000, func() { churn(cell, placer, need) }); n != 0 {
-		t.Errorf("%v allocations for each placement", n)
+	if n := testing.AllocsPerRun(1000, func() { placeAndRelease(cell, placer, need) }); n != 0 {
+		t.Errorf("%v allocations per placement", n)
 	}
 }
 
-// filled returns a cell of which most room is taken.
-func filled(workers int) (*Cell, *Placer) {
+// filledCell returns a cell with most of its resources reserved.
+func filledCell(workers int) (*Cell, *Placer) {
 	cell := NewCell()
 	placer := NewPlacer(cell)
 	for i := range workers {
@@ -188,7 +187,7 @@
 	return cell, placer
 }
 
-func churn(cell *Cell, placer *Placer, need resource.Vector) {
+func placeAndRelease(cell *Cell, placer *Placer, need resource.Vector) {
 	ref := placer.Pack(need, None)
 	if ref == None {
 		return
@@ -197,33 +196,34 @@
 	cell.Release(ref, need)
 }
 
-var sizesOfCells = []int{12, 48, 800, 26_000}
+var cellSizes = []int{12, 48, 800, 26_000}
 
 func BenchmarkPlacement(b *testing.B) {
-	for _, workers := range sizesOfCells {
+	for _, workers := range cellSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			cell, placer := filled(workers)
+			cell, placer := filledCell(workers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				churn(cell, placer, needOf(i))
+				placeAndRelease(cell, placer, needFor(i))
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "placements/s")
 		})
 	}
 }
 
-// BenchmarkFullScan looks at every worker, for comparison.
+// BenchmarkFullScan measures a check of all workers, for comparison with
+// BenchmarkPlacement.
 func BenchmarkFullScan(b *testing.B) {
-	for _, workers := range sizesOfCells {
+	for _, workers := range cellSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			_, placer := filled(workers)
+			_, placer := filledCell(workers)
 			for i := 0; b.Loop(); i++ {
-				placer.Why(needOf(i), 0)
+				placer.Why(needFor(i), 0)
 			}
 		})
 	}
 }
 
-func needOf(i int) resource.Vector {
+func needFor(i int) resource.Vector {
 	return resource.Vector{MilliCPU: int64(500 + 900*(i%6)), MemoryMiB: int64(1024 * (1 + i%7))}
 }
