--- a/queue/fair.go
+++ b/queue/fair.go
@@ -1,31 +1,32 @@
 package queue
 
-// Demand is the part of a zone that one team uses, wants and should have.
+// Demand is the share of a zone that one team uses, wants and is entitled to.
 type Demand struct {
 	Weight int64
-	Used   float64 // dominant share
-	Wants  float64 // the most that it could use, at least Used
-	Fair   float64 // set by Divide
+	Used   float64 // dominant share in use
+	Wants  float64 // dominant share that the team could use, at least Used
+	Fair   float64 // fair share, set by Divide
 }
 
-// Divide divides what all teams use together by weight, but gives no team more
-// than it wants; what one leaves is divided between the others.
+// Divide sets the fair share of each team. It divides the sum of the shares in
+// use by weight, with max-min fairness: no team gets more than it wants, and the
+// rest is divided among the other teams.
 func Divide(teams []Demand) {
-	left := 0.0
+	remaining := 0.0
 	weights := int64(0)
 	for i := range teams {
-		left += teams[i].Used
+		remaining += teams[i].Used
 		weights += teams[i].Weight
 		teams[i].Fair = -1
 	}
 	for settled := true; settled; {
 		settled = false
-		level := left / float64(max(weights, 1))
+		perWeight := remaining / float64(max(weights, 1))
 		for i := range teams {
 			t := &teams[i]
-			if t.Fair < 0 && t.Wants <= level*float64(t.Weight) {
+			if t.Fair < 0 && t.Wants <= perWeight*float64(t.Weight) {
 				t.Fair = t.Wants
-				left -= t.Wants
+				remaining -= t.Wants
 				weights -= t.Weight
 				settled = true
 				break
@@ -34,7 +35,7 @@
 	}
 	for i := range teams {
 		if t := &teams[i]; t.Fair < 0 {
-			t.Fair = left * float64(t.Weight) / float64(max(weights, 1))
+			t.Fair = remaining * float64(t.Weight) / float64(max(weights, 1))
 		}
 	}
 }
--- a/queue/main_test.go
+++ b/queue/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, unless one is given.
+// TestMain sets the seed of the property tests to 1 unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
--- a/queue/order.go
+++ b/queue/order.go
@@ -1,61 +1,63 @@
 package queue
 
-// reshare works out the share of a team and moves it to its place in the
-// order. Shares change a little at a time, so that it moves a few places.
-func (q *Queue[T]) reshare(team *Team[T]) {
+// updateShare computes the share of a team and moves the team to its position
+// in the order. Shares change in small steps, so a linear search from the old
+// position is short.
+func (q *Queue[T]) updateShare(team *Team[T]) {
 	team.share = team.Used.Dominant(q.total) / float64(team.Weight)
 	switch {
-	case team.waiting > 0 && team.at == notOrdered:
-		team.at = len(q.order)
+	case team.waiting > 0 && team.orderPos == notOrdered:
+		team.orderPos = len(q.order)
 		q.order = append(q.order, team)
-	case team.waiting == 0 && team.at != notOrdered:
-		q.unorder(team)
+	case team.waiting == 0 && team.orderPos != notOrdered:
+		q.removeFromOrder(team)
 		return
-	case team.at == notOrdered:
+	case team.orderPos == notOrdered:
 		return
 	}
-	for team.at > 0 && team.before(q.order[team.at-1]) {
-		q.swap(team.at, team.at-1)
+	for team.orderPos > 0 && team.before(q.order[team.orderPos-1]) {
+		q.swap(team.orderPos, team.orderPos-1)
 	}
-	for team.at+1 < len(q.order) && q.order[team.at+1].before(team) {
-		q.swap(team.at, team.at+1)
+	for team.orderPos+1 < len(q.order) && q.order[team.orderPos+1].before(team) {
+		q.swap(team.orderPos, team.orderPos+1)
 	}
 }
 
 func (q *Queue[T]) swap(i, j int) {
 	q.order[i], q.order[j] = q.order[j], q.order[i]
-	q.order[i].at, q.order[j].at = i, j
+	q.order[i].orderPos, q.order[j].orderPos = i, j
 }
 
-func (q *Queue[T]) unorder(team *Team[T]) {
-	for team.at+1 < len(q.order) {
-		q.swap(team.at, team.at+1)
+func (q *Queue[T]) removeFromOrder(team *Team[T]) {
+	for team.orderPos+1 < len(q.order) {
+		q.swap(team.orderPos, team.orderPos+1)
 	}
-	q.order[team.at] = nil
-	q.order = q.order[:team.at]
-	team.at = notOrdered
+	q.order[team.orderPos] = nil
+	q.order = q.order[:team.orderPos]
+	team.orderPos = notOrdered
 }
 
-// First returns the first item in the order whose class open admits, or nil.
-func (q *Queue[T]) First(open func(*Class[T]) bool) *Item[T] {
-	if class := q.FirstUrgent(open); class != nil {
+// First returns the first item in the order whose class is accepted by admits,
+// or nil.
+func (q *Queue[T]) First(admits func(*Class[T]) bool) *Item[T] {
+	if class := q.FirstUrgent(admits); class != nil {
 		return class.Head()
 	}
 	for _, team := range q.order {
-		class, whole := team.first(open)
+		class, complete := team.scanFirst(admits)
 		if class != nil {
 			return class.Head()
 		}
-		q.partial = q.partial || !whole
+		q.partialScan = q.partialScan || !complete
 	}
 	return nil
 }
 
-// Partial reports, once, whether some classes were not looked at since it was
-// last called although their team had nothing else to start.
+// Partial reports whether, since its last call, First skipped classes of a team
+// for which it found nothing else to start. It resets the flag.
 func (q *Queue[T]) Partial() bool {
-	partial := q.partial
-	q.partial = false
+	partial := q.partialScan
+	q.partialScan = false
 	return partial
 }
 
@@ -63,12 +65,12 @@
 // valid until the queue changes.
 func (q *Queue[T]) Ordered() []*Team[T] { return q.order }
 
-// Urgent returns the number of urgent items that wait.
+// Urgent returns the number of urgent items waiting.
 func (q *Queue[T]) Urgent() int { return q.urgent }
 
-// FirstUrgent returns the urgent class that is due first among the teams that
-// are within their bound, or nil.
-func (q *Queue[T]) FirstUrgent(open func(*Class[T]) bool) *Class[T] {
+// FirstUrgent returns the class accepted by admits whose urgent head is due
+// first, among the teams within their urgent bound, or nil.
+func (q *Queue[T]) FirstUrgent(admits func(*Class[T]) bool) *Class[T] {
 	if q.urgent == 0 {
 		return nil
 	}
@@ -77,7 +79,7 @@
 		if team.urgent == 0 || !q.UrgentWithin(team) {
 			continue
 		}
-		class := team.firstUrgent(open)
+		class := team.firstUrgent(admits)
 		if class == nil {
 			continue
 		}
@@ -88,14 +90,15 @@
 	return best
 }
 
-// UrgentWithin reports whether urgent work of the team comes first.
+// UrgentWithin reports whether the team's share is within the bound up to which
+// its urgent work comes before all other work.
 func (q *Queue[T]) UrgentWithin(team *Team[T]) bool {
 	return q.Share(team) <= q.urgentOver*q.Entitled(team)
 }
 
-// Oldest returns the item that arrived first among those whose class open
-// admits, whatever its team: first in, first out.
-func (q *Queue[T]) Oldest(open func(*Class[T]) bool) *Item[T] {
+// Oldest returns the item with the lowest Seq among the heads of the classes
+// accepted by admits, or nil: first in, first out, regardless of the team.
+func (q *Queue[T]) Oldest(admits func(*Class[T]) bool) *Item[T] {
 	var best *Item[T]
 	for _, team := range q.order {
 		for _, class := range team.classes {
@@ -103,7 +106,7 @@
 			if best != nil && best.Seq < head.Seq {
 				continue
 			}
-			if open(class) {
+			if admits(class) {
 				best = head
 			}
 		}
@@ -112,7 +115,7 @@
 }
 
 // AheadOf returns the items of the same team that come before the item, in no
-// particular order.
+// particular order. It returns nil if the item is in no queue.
 func (q *Queue[T]) AheadOf(item *Item[T]) []*Item[T] {
 	if item.class == nil {
 		return nil
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -10,22 +10,22 @@
 // Queue holds the waiting items of all teams. It is not safe for concurrent
 // use.
 type Queue[T any] struct {
-	teams      map[ident.TeamID]*Team[T]
-	order      []*Team[T] // with waiting items, lowest share first
-	total      resource.Vector
-	weights    int64   // of the teams that are present
-	urgentOver float64 // multiple of its share up to which a team's urgent work comes first
-	urgent     int     // urgent items of all teams
-	waiting    int
-	partial    bool        // some classes were not looked at
-	spare      []*Class[T] // empty classes for later use
+	teams         map[ident.TeamID]*Team[T]
+	order         []*Team[T] // teams with waiting items, lowest share first
+	total         resource.Vector
+	activeWeights int64   // sum over the active teams
+	urgentOver    float64 // multiple of its share up to which a team's urgent work comes first
+	urgent        int     // waiting urgent items of all teams
+	waiting       int
+	partialScan   bool        // a scan skipped classes; see Partial
+	unusedClasses []*Class[T] // empty classes kept for reuse
 }
 
-// spareMost bounds the empty classes that are kept.
-const spareMost = 256
+// maxUnusedClasses is the maximum number of empty classes kept for reuse.
+const maxUnusedClasses = 256
 
 // New returns an empty queue. Urgent work comes first while its team uses at
-// most urgentOver times its share.
+// most urgentOver times the share it is entitled to.
 func New[T any](urgentOver float64) *Queue[T] {
 	return &Queue[T]{teams: map[ident.TeamID]*Team[T]{}, urgentOver: urgentOver}
 }
@@ -33,27 +33,28 @@
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.waiting }
 
-// Team returns a team. One that was not seen before has weight one.
+// Team returns the team with the ID. A new team has weight one.
 func (q *Queue[T]) Team(id ident.TeamID) *Team[T] {
 	team, ok := q.teams[id]
 	if !ok {
-		team = &Team[T]{ID: id, Weight: 1, byShape: map[Shape]*Class[T]{}, at: notOrdered}
+		team = &Team[T]{ID: id, Weight: 1, byShape: map[Shape]*Class[T]{}, orderPos: notOrdered}
 		q.teams[id] = team
 	}
 	return team
 }
 
-// SetWeight sets the weight of a team, at least one.
+// SetWeight sets the weight of a team. A weight below one is set to one.
 func (q *Queue[T]) SetWeight(team *Team[T], weight int64) {
 	weight = max(weight, 1)
-	if team.present() {
-		q.weights += weight - team.Weight
+	if team.active() {
+		q.activeWeights += weight - team.Weight
 	}
 	team.Weight = weight
-	q.reshare(team)
+	q.updateShare(team)
 }
 
-// ResetWeights gives every team that keep does not list weight one.
+// ResetWeights sets the weight of all teams to one, except those for which
+// keep returns true.
 func (q *Queue[T]) ResetWeights(keep func(ident.TeamID) bool) {
 	for id, team := range q.teams {
 		if !keep(id) {
@@ -62,108 +63,110 @@
 	}
 }
 
-// SetTotal sets the size of the zone, to which shares relate.
+// SetTotal sets the resources of the zone, of which shares are fractions.
 func (q *Queue[T]) SetTotal(total resource.Vector) {
 	q.total = total
 	for _, team := range q.teams {
-		q.reshare(team)
+		q.updateShare(team)
 	}
 }
 
-// Use counts resources that a team uses from now on; Release is its reverse.
+// Use adds resources to those in use by a team; Release subtracts them.
 func (q *Queue[T]) Use(team *Team[T], need resource.Vector) {
-	q.change(team, func() { team.Used = team.Used.Add(need) })
+	q.update(team, func() { team.Used = team.Used.Add(need) })
 }
 
-// Release counts resources that a team uses no longer.
+// Release subtracts resources from those in use by a team.
 func (q *Queue[T]) Release(team *Team[T], need resource.Vector) {
-	q.change(team, func() { team.Used = team.Used.Sub(need) })
+	q.update(team, func() { team.Used = team.Used.Sub(need) })
 }
 
-// change applies a change to a team and keeps the sum of weights and the order.
-func (q *Queue[T]) change(team *Team[T], apply func()) {
-	was := team.present()
+// update applies a change to a team, then updates the sum of active weights and
+// the order.
+func (q *Queue[T]) update(team *Team[T], apply func()) {
+	wasActive := team.active()
 	apply()
-	if is := team.present(); is != was {
-		if is {
-			q.weights += team.Weight
+	if isActive := team.active(); isActive != wasActive {
+		if isActive {
+			q.activeWeights += team.Weight
 		} else {
-			q.weights -= team.Weight
+			q.activeWeights -= team.Weight
 		}
 	}
-	q.reshare(team)
+	q.updateShare(team)
 }
 
 // Share returns the dominant share of the zone that a team uses.
 func (q *Queue[T]) Share(team *Team[T]) float64 { return team.Used.Dominant(q.total) }
 
-// Entitled returns the share of the zone that a team may expect while every
-// team that is present has work waiting.
+// Entitled returns the share of the zone, in the range 0 to 1, that a team is
+// entitled to by its weight if all active teams have work waiting.
 func (q *Queue[T]) Entitled(team *Team[T]) float64 {
-	weights := q.weights
-	if !team.present() {
+	weights := q.activeWeights
+	if !team.active() {
 		weights += team.Weight
 	}
 	return float64(team.Weight) / float64(max(weights, 1))
 }
 
-// Push adds an item. It must not wait already.
+// Push adds an item to the queue. The item must not be in a queue already.
 func (q *Queue[T]) Push(team *Team[T], shape Shape, item *Item[T]) {
-	class := q.class(team, shape)
+	class := q.classFor(team, shape)
 	item.class = class
 	heap.Push(&class.items, item)
-	q.count(team, shape, 1)
+	q.addWaiting(team, shape, 1)
 }
 
-// Remove takes an item out, if it waits.
+// Remove removes an item from the queue. It does nothing if the item is in no
+// queue.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	class := item.class
 	if class == nil {
 		return
 	}
-	heap.Remove(&class.items, int(item.at))
+	heap.Remove(&class.items, int(item.heapPos))
 	item.class = nil
-	q.count(class.Team, class.Shape, -1)
+	q.addWaiting(class.Team, class.Shape, -1)
 	if len(class.items) == 0 {
-		q.drop(class)
+		q.dropClass(class)
 	}
 }
 
-func (q *Queue[T]) count(team *Team[T], shape Shape, change int) {
-	q.waiting += change
+func (q *Queue[T]) addWaiting(team *Team[T], shape Shape, delta int) {
+	q.waiting += delta
 	if shape.Urgent {
-		team.urgent += change
-		q.urgent += change
+		team.urgent += delta
+		q.urgent += delta
 	}
-	q.change(team, func() { team.waiting += change })
+	q.update(team, func() { team.waiting += delta })
 }
 
-func (q *Queue[T]) class(team *Team[T], shape Shape) *Class[T] {
+func (q *Queue[T]) classFor(team *Team[T], shape Shape) *Class[T] {
 	if class, ok := team.byShape[shape]; ok {
 		return class
 	}
 	var class *Class[T]
-	if n := len(q.spare); n > 0 {
-		class = q.spare[n-1]
-		q.spare = q.spare[:n-1]
+	if n := len(q.unusedClasses); n > 0 {
+		class = q.unusedClasses[n-1]
+		q.unusedClasses = q.unusedClasses[:n-1]
 	} else {
 		class = &Class[T]{}
 	}
-	class.Shape, class.Team, class.Mark, class.at = shape, team, 0, len(team.classes)
+	class.Shape, class.Team, class.Mark, class.teamPos = shape, team, 0, len(team.classes)
 	team.classes = append(team.classes, class)
 	team.byShape[shape] = class
 	return class
 }
 
-func (q *Queue[T]) drop(class *Class[T]) {
+func (q *Queue[T]) dropClass(class *Class[T]) {
 	team := class.Team
 	last := len(team.classes) - 1
-	team.classes[class.at] = team.classes[last]
-	team.classes[class.at].at = class.at
+	team.classes[class.teamPos] = team.classes[last]
+	team.classes[class.teamPos].teamPos = class.teamPos
 	team.classes[last] = nil
 	team.classes = team.classes[:last]
 	delete(team.byShape, class.Shape)
-	if len(q.spare) < spareMost {
-		q.spare = append(q.spare, class)
+	if len(q.unusedClasses) < maxUnusedClasses {
+		q.unusedClasses = append(q.unusedClasses, class)
 	}
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -11,11 +11,12 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-func all(*Class[int]) bool { return true }
+func admitAll(*Class[int]) bool { return true }
 
-// Over random changes the first item is always one of a team with the lowest
-// share by weight, and the counts agree with what was pushed.
-func TestOrderOfTeams(t *testing.T) {
+// After any sequence of changes, the first item must belong to a team with the
+// lowest share divided by weight and be the one due first in that team, and Len
+// must match the number of items pushed and not removed.
+func TestFirstItemBelongsToTeamWithLowestShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int](1)
 		q.SetTotal(resource.Vector{MilliCPU: 1000, MemoryMiB: 500})
@@ -45,22 +46,22 @@
 
 func checkFirst(t *rapid.T, q *Queue[int], waiting []*Item[int]) {
 	if q.Len() != len(waiting) {
-		t.Fatalf("%d wait, want %d", q.Len(), len(waiting))
+		t.Fatalf("%d items waiting, want %d", q.Len(), len(waiting))
 	}
-	first := q.First(all)
+	first := q.First(admitAll)
 	for _, item := range waiting {
 		team := item.Class().Team
 		if q.Share(team)/float64(team.Weight) < q.Share(first.Class().Team)/float64(first.Class().Team.Weight) {
-			t.Fatalf("team %s is behind team %s with a higher share", team.ID, first.Class().Team.ID)
+			t.Fatalf("team %s is ordered after team %s, which has a higher share", team.ID, first.Class().Team.ID)
 		}
 		if team == first.Class().Team && item.before(first) {
-			t.Fatalf("item due at %s is behind one due at %s", item.Due, first.Due)
+			t.Fatalf("item due at %s is ordered after an item due at %s", item.Due, first.Due)
 		}
 	}
 }
 
-// Work with deadlines arrives all the time and older work without one waits.
-// The older work must get a turn after a bounded number of starts.
+// With a steady stream of work with deadlines, older work without a deadline
+// must start after a bounded number of other starts.
 func TestDeadlinesDoNotStarveOlderWork(t *testing.T) {
 	q := New[int](1)
 	team := q.Team("a")
@@ -68,41 +69,42 @@
 	q.Push(team, Shape{}, plain)
 	for started := 0; ; started++ {
 		q.Push(team, Shape{Pressing: true}, &Item[int]{Due: time.Duration(2 + started), Seq: uint64(started)})
-		first := q.First(all)
+		first := q.First(admitAll)
 		q.Remove(first)
 		if first == plain {
-			if started != pressingRun {
-				t.Errorf("after %d starts, want %d", started, pressingRun)
+			if started != maxPressingStreak {
+				t.Errorf("older work started after %d starts, want %d", started, maxPressingStreak)
 			}
 			return
 		}
-		if started > pressingRun {
-			t.Fatal("the older work never starts")
+		if started > maxPressingStreak {
+			t.Fatal("older work never started")
 		}
 		team.Started(&Class[int]{Shape: Shape{Pressing: true}})
 	}
 }
 
-// Urgent work comes before all other, but not when its team is far over its
-// share.
-func TestUrgentWithinItsBound(t *testing.T) {
+// Urgent work must come before all other work while its team uses at most
+// urgentOver times its share, and not beyond that.
+func TestUrgentComesFirstOnlyWithinBound(t *testing.T) {
 	q := New[int](1.5)
 	q.SetTotal(resource.Vector{MilliCPU: 1000})
 	urgent, plain := &Item[int]{Due: 9}, &Item[int]{Due: 1}
 	q.Push(q.Team("urgent"), Shape{Urgent: true}, urgent)
 	q.Push(q.Team("plain"), Shape{}, plain)
 	q.Use(q.Team("urgent"), resource.Vector{MilliCPU: 700})
-	if q.First(all) != urgent {
-		t.Error("within its bound, urgent work is not first")
+	if q.First(admitAll) != urgent {
+		t.Error("urgent work within its bound is not first")
 	}
 	q.Use(q.Team("urgent"), resource.Vector{MilliCPU: 100})
-	if q.First(all) != plain {
-		t.Error("beyond its bound, urgent work is still first")
+	if q.First(admitAll) != plain {
+		t.Error("urgent work beyond its bound is still first")
 	}
 }
 
-// What is left by a team that wants little goes to the others by weight.
-func TestDivide(t *testing.T) {
+// The part of its share that a team does not want must go to the other teams by
+// weight.
+func TestFairSharesRedistributeWhatATeamDoesNotWant(t *testing.T) {
 	teams := []Demand{{Weight: 1, Used: 0.7, Wants: 0.9}, {Weight: 1, Used: 0.1, Wants: 0.1}, {Weight: 3, Used: 0.2, Wants: 1}}
 	Divide(teams)
 	for i, want := range []float64{0.225, 0.1, 0.675} {
@@ -112,30 +114,30 @@
 	}
 }
 
-// One team waits with thousands of different needs, one of which fits. Others
-// must not wait while all are looked at; and the one that fits must be found
-// after a few turns.
-func TestManyDifferentNeedsAreLookedAtInTurns(t *testing.T) {
-	const needs = 4 * lookMost
+// A team has more than a thousand classes, one of which fits. A single scan must
+// visit at most maxScan of them, or the other teams are delayed; successive
+// scans must find the class that fits.
+func TestScanOfManyDifferentNeedsIsBounded(t *testing.T) {
+	const needs = 4 * maxScan
 	q := New[int](1)
 	for i := range needs {
 		q.Push(q.Team("a"), Shape{Need: resource.Vector{MemoryMiB: int64(i)}}, &Item[int]{Owner: i})
 	}
 	const fits = needs - 1
-	for turns := 1; ; turns++ {
-		looks := 0
+	for scans := 1; ; scans++ {
+		visited := 0
 		item := q.First(func(class *Class[int]) bool {
-			looks++
+			visited++
 			return class.Head().Owner == fits
 		})
-		if looks > lookMost {
-			t.Fatalf("%d classes were looked at", looks)
+		if visited > maxScan {
+			t.Fatalf("one scan visited %d classes, more than maxScan", visited)
 		}
 		if item != nil {
 			return
 		}
-		if !q.Partial() || turns > needs/lookMost {
-			t.Fatalf("turn %d: the need that fits was not found", turns)
+		if !q.Partial() || scans > needs/maxScan {
+			t.Fatalf("scan %d: the class that fits was not found", scans)
 		}
 	}
 }
--- a/queue/team.go
+++ b/queue/team.go
@@ -5,29 +5,30 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// Team is the waiting work and the use of one team.
+// Team holds the waiting items and the resource usage of one team.
 type Team[T any] struct {
 	ID     ident.TeamID
 	Weight int64
 	Used   resource.Vector
 
-	passed  int     // pressing items started in a row while older ones waited
-	share   float64 // dominant, divided by weight
-	waiting int     // items
-	urgent  int     // items of urgent classes
-	classes []*Class[T]
-	byShape map[Shape]*Class[T]
-	at      int // in the order of teams; notOrdered without waiting items
-	turn    int // class at which the next look begins, if there are too many for one
+	pressingStreak int     // pressing items started since the last other item
+	share          float64 // dominant share divided by weight
+	waiting        int     // number of items
+	urgent         int     // number of urgent items
+	classes        []*Class[T]
+	byShape        map[Shape]*Class[T]
+	orderPos       int // position in Queue.order, or notOrdered without waiting items
+	scanStart      int // class at which the next scan starts, if there are more than maxScan
 }
 
 const notOrdered = -1
 
-// Waiting returns the number of items that wait.
+// Waiting returns the number of waiting items.
 func (t *Team[T]) Waiting() int { return t.waiting }
 
-// present reports whether the team counts when shares are worked out.
-func (t *Team[T]) present() bool { return t.waiting > 0 || !t.Used.IsZero() }
+// active reports whether the team has waiting items or uses resources. Only
+// active teams count towards the shares of the others.
+func (t *Team[T]) active() bool { return t.waiting > 0 || !t.Used.IsZero() }
 
 func (t *Team[T]) before(o *Team[T]) bool {
 	if t.share != o.share {
@@ -46,44 +47,44 @@
 	}
 }
 
-// pressingRun is how many pressing items of a team start in a row while older
-// work of the team waits. The next start is then the older work's, so that a
-// steady stream of deadlines does not starve it.
-const pressingRun = 4
+// maxPressingStreak is the maximum number of pressing items of a team that start
+// in a row while older work of the team waits. The older work starts next;
+// otherwise a steady stream of work with deadlines would starve it.
+const maxPressingStreak = 4
 
-// lookMost is how many classes of a team are looked at at once. A team with
-// more different needs has them looked at in turns: that it cannot be served in
-// strict order is its own loss, and no other team waits for the looking.
-const lookMost = 256
+// maxScan is the maximum number of classes of a team that one scan visits. In a
+// team with more classes, successive scans visit them in rotation. Such a team
+// is not served in strict order, but it does not delay the other teams.
+const maxScan = 256
 
-// look calls f for the classes whose turn it is, and reports whether these are
-// all.
-func (t *Team[T]) look(f func(*Class[T])) bool {
+// scan calls f for at most maxScan classes, starting where the last scan ended,
+// and reports whether these are all classes of the team.
+func (t *Team[T]) scan(f func(*Class[T])) bool {
 	n := len(t.classes)
-	if n <= lookMost {
+	if n <= maxScan {
 		for _, class := range t.classes {
 			f(class)
 		}
 		return true
 	}
-	for i := range lookMost {
-		f(t.classes[(t.turn+i)%n])
+	for i := range maxScan {
+		f(t.classes[(t.scanStart+i)%n])
 	}
-	t.turn = (t.turn + lookMost) % n
+	t.scanStart = (t.scanStart + maxScan) % n
 	return false
 }
 
-// First returns the class whose head comes first among those that open admits,
-// or nil. If there are many classes it looks at some of them only.
-func (t *Team[T]) First(open func(*Class[T]) bool) *Class[T] {
-	class, _ := t.first(open)
+// First returns the class whose head comes first among those accepted by
+// admits, or nil. In a team with more than maxScan classes it visits only some.
+func (t *Team[T]) First(admits func(*Class[T]) bool) *Class[T] {
+	class, _ := t.scanFirst(admits)
 	return class
 }
 
-// first is First, and reports whether all classes were looked at.
-func (t *Team[T]) first(open func(*Class[T]) bool) (*Class[T], bool) {
+// scanFirst is like First and also reports whether all classes were visited.
+func (t *Team[T]) scanFirst(admits func(*Class[T]) bool) (*Class[T], bool) {
 	var pressing, plain *Class[T]
-	whole := t.look(func(class *Class[T]) {
+	complete := t.scan(func(class *Class[T]) {
 		best := &plain
 		if class.Shape.Pressing {
 			best = &pressing
@@ -91,45 +92,45 @@
 		if *best != nil && (*best).Head().before(class.Head()) {
 			return
 		}
-		if open(class) {
+		if admits(class) {
 			*best = class
 		}
 	})
-	return t.choose(pressing, plain), whole
+	return t.choose(pressing, plain), complete
 }
 
-// choose returns the class whose turn it is.
+// choose returns the class to start next. Either may be nil.
 func (t *Team[T]) choose(pressing, plain *Class[T]) *Class[T] {
 	switch {
 	case pressing == nil:
 		return plain
-	case plain != nil && t.passed >= pressingRun && plain.Head().before(pressing.Head()):
+	case plain != nil && t.pressingStreak >= maxPressingStreak && plain.Head().before(pressing.Head()):
 		return plain
 	}
 	return pressing
 }
 
 // firstUrgent returns the urgent class whose head is due first among those
-// that open admits, or nil.
-func (t *Team[T]) firstUrgent(open func(*Class[T]) bool) *Class[T] {
+// accepted by admits, or nil. Like First it visits at most maxScan classes.
+func (t *Team[T]) firstUrgent(admits func(*Class[T]) bool) *Class[T] {
 	var best *Class[T]
-	t.look(func(class *Class[T]) {
+	t.scan(func(class *Class[T]) {
 		if !class.Shape.Urgent || best != nil && best.Head().before(class.Head()) {
 			return
 		}
-		if open(class) {
+		if admits(class) {
 			best = class
 		}
 	})
 	return best
 }
 
-// Started tells the queue that work of a class was started, which decides
-// whose turn is next within the team.
+// Started records that an item of the class was started. maxPressingStreak
+// applies to the starts recorded here.
 func (t *Team[T]) Started(class *Class[T]) {
 	if class.Shape.Pressing {
-		t.passed++
+		t.pressingStreak++
 		return
 	}
-	t.passed = 0
+	t.pressingStreak = 0
 }
