--- a/logwriter/logwriter.go
+++ b/logwriter/logwriter.go
@@ -247,7 +247,7 @@
 	}
 	return w.call(ctx, timeout, p, platform.Append{
 		Topic: w.target.Topic, Part: w.active, Producer: w.target.Producer,
-		Epoch: w.target.Epoch, Seq: p.seq, At: -1, Records: records,
+		Epoch: w.target.Epoch, Seq: p.seq, ExpectedEnd: -1, Records: records,
 	})
 }
 
