--- a/place/cell.go
+++ b/place/cell.go
@@ -58,16 +58,16 @@
 	return &Cell{refs: map[ident.WorkerID]Ref{}, racks: newRackSet(), index: newIndex()}
 }
 
-// Compute returns the resources in v that the compute lease of a worker covers:
+// ComputeResources returns the resources in v that the compute lease of a worker covers:
 // CPU, memory and accelerators.
-func Compute(v resource.Vector) resource.Vector {
+func ComputeResources(v resource.Vector) resource.Vector {
 	return resource.Vector{MilliCPU: v.MilliCPU, MemoryMiB: v.MemoryMiB, Accelerators: v.Accelerators}
 }
 
 // Add adds a worker and returns its position. If the worker is known, Add
 // updates its size, and its rack if no tasks run on it.
 func (c *Cell) Add(id ident.WorkerID, rack string, size resource.Vector) Ref {
-	size = Compute(size)
+	size = ComputeResources(size)
 	if ref, ok := c.refs[id]; ok {
 		c.resize(ref, rack, size)
 		return ref
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -149,5 +149,5 @@
 
 // fitsNow reports whether a task of the job could start at once.
 func (s *Scheduler) fitsNow(spec work.Spec) bool {
-	return s.queue.Len() == 0 && s.asked.Pack(place.Compute(spec.Need), place.None) != place.None
+	return s.queue.Len() == 0 && s.asked.Pack(place.ComputeResources(spec.Need), place.None) != place.None
 }
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -33,7 +33,7 @@
 	j := &job{
 		id:       id,
 		spec:     spec,
-		need:     place.Compute(spec.Need),
+		need:     place.ComputeResources(spec.Need),
 		units:    resource.LimitUnits(spec.Need),
 		team:     s.team(spec.Team),
 		family:   s.families.of(spec.Team, spec.Name),
--- a/sched/service.go
+++ b/sched/service.go
@@ -46,7 +46,7 @@
 	svc.removed = false
 	svc.team = s.team(ev.Team)
 	svc.wanted = max(ev.Replicas, 0)
-	svc.need = place.Compute(ev.Need)
+	svc.need = place.ComputeResources(ev.Need)
 	svc.units = resource.LimitUnits(ev.Need)
 	svc.mark = 0
 	s.dirty = true
@@ -86,7 +86,7 @@
 		id:      ev.ID,
 		service: svc,
 		team:    s.team(ev.Team),
-		need:    place.Compute(ev.Need),
+		need:    place.ComputeResources(ev.Need),
 		units:   resource.LimitUnits(ev.Need),
 		since:   s.now,
 		started: true,
