--- a/place/cell.go
+++ b/place/cell.go
@@ -185,15 +185,15 @@
 // Release returns the resources of a task that has ended and records the
 // worker in the log of freed resources.
 func (c *Cell) Release(ref Ref, need resource.Vector) {
-	c.Undo(ref, need)
+	c.Unreserve(ref, need)
 	if c.workers[ref].Bars&^BarHeld == 0 {
 		c.freed.add(ref)
 	}
 }
 
-// Undo reverts a reservation that was never used. Unlike Release it does not
+// Unreserve reverts a reservation that was never used. Unlike Release it does not
 // record the worker as freed, so pending work is not retried because of it.
-func (c *Cell) Undo(ref Ref, need resource.Vector) {
+func (c *Cell) Unreserve(ref Ref, need resource.Vector) {
 	w := &c.workers[ref]
 	w.Free = w.Free.Add(need)
 	w.Tasks--
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if !s.tryUse(j.team, j.units, j.item.Due) {
-		s.cell.Undo(ref, j.need)
+		s.cell.Unreserve(ref, j.need)
 		return
 	}
 	s.assign(j, ref)
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -64,7 +64,7 @@
 // undo gives back reservations that no attempt uses.
 func (s *Scheduler) undo(refs []place.Ref, j *job) {
 	for _, ref := range refs {
-		s.cell.Undo(ref, j.need)
+		s.cell.Unreserve(ref, j.need)
 	}
 	s.gangRefs = refs[:0]
 }
--- a/sched/service.go
+++ b/sched/service.go
@@ -221,7 +221,7 @@
 		return false
 	}
 	if !s.tryUse(svc.team, svc.units, s.now) {
-		s.cell.Undo(ref, svc.need)
+		s.cell.Unreserve(ref, svc.need)
 		return false
 	}
 	a := &attempt{
