--- a/place/cell.go
+++ b/place/cell.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// Measured adds change, in milli-CPU, to the Excess of the worker.
-func (c *Cell) Measured(ref Ref, change int64) { c.workers[ref].Excess += change }
+// AddExcess adds change, in milli-CPU, to the Excess of the worker.
+func (c *Cell) AddExcess(ref Ref, change int64) { c.workers[ref].Excess += change }
 
 // addCandidate adds the worker to the index and records it as freed, unless it
 // has bars or is indexed already.
--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -88,7 +88,7 @@
 	if a.stopping != "" {
 		a.team.stopping = a.team.stopping.Sub(a.need)
 	}
-	s.cell.Measured(a.worker, -a.excess)
+	s.cell.AddExcess(a.worker, -a.excess)
 	s.cell.Release(a.worker, a.need)
 	s.queue.Release(a.team.Team, a.need)
 	s.doneUnits(a.team, a.units)
@@ -307,7 +307,7 @@
 		return
 	}
 	excess := max(ev.Usage.MilliCPU-a.need.MilliCPU, 0)
-	s.cell.Measured(a.worker, excess-a.excess)
+	s.cell.AddExcess(a.worker, excess-a.excess)
 	a.excess = excess
 	if ev.Ran > 0 {
 		a.since = s.now - ev.Ran
