--- a/place/cell.go
+++ b/place/cell.go
@@ -136,8 +136,8 @@
 // Total returns the sum of the sizes of all workers.
 func (c *Cell) Total() resource.Vector { return c.total }
 
-// Open returns the sum of the free resources on workers without bars.
-func (c *Cell) Open() resource.Vector { return c.available }
+// Available returns the sum of the free resources on workers without bars.
+func (c *Cell) Available() resource.Vector { return c.available }
 
 // Bar sets a bar on the worker, which excludes it from placement.
 func (c *Cell) Bar(ref Ref, bar Bars) {
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -75,8 +75,8 @@
 			t.Fatalf("worker %s is overcommitted: %s free", w.ID, w.Free)
 		}
 	}
-	if available != cell.Open() {
-		t.Fatalf("free resources counted as %s, want %s", cell.Open(), available)
+	if available != cell.Available() {
+		t.Fatalf("free resources counted as %s, want %s", cell.Available(), available)
 	}
 }
 
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -32,7 +32,7 @@
 	if j.hold != nil {
 		refs = s.reserveHeld(j, refs)
 	}
-	if !s.opts.FirstFit && place.Count(j.need, s.cell.Open(), int64(n)) < int64(n-len(refs)) {
+	if !s.opts.FirstFit && place.Count(j.need, s.cell.Available(), int64(n)) < int64(n-len(refs)) {
 		s.undo(refs, j)
 		return nil
 	}
