--- a/place/cell.go
+++ b/place/cell.go
@@ -241,10 +241,10 @@
 	return largest
 }
 
-// Slots returns how many tasks with the need fit on all workers when they are
+// TaskCapacity returns how many tasks with the need fit on all workers when they are
 // empty, at most maxTasks. Workers with bars are counted, because the bars may
 // be cleared later.
-func (c *Cell) Slots(need resource.Vector, maxTasks int64) int64 {
+func (c *Cell) TaskCapacity(need resource.Vector, maxTasks int64) int64 {
 	tasks := int64(0)
 	for i := range c.workers {
 		if c.workers[i].ID != "" {
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -78,7 +78,7 @@
 	if spec.Kind == work.KindGang {
 		tasks = int64(spec.Tasks)
 	}
-	slots := s.cell.Slots(spec.Need, tasks)
+	slots := s.cell.TaskCapacity(spec.Need, tasks)
 	if slots >= tasks {
 		return nil
 	}
