--- a/place/freed.go
+++ b/place/freed.go
@@ -23,9 +23,9 @@
 	l.refs = append(l.refs, ref)
 }
 
-// Freed returns the current position in the log of freed resources. Positions
+// FreedPosition returns the current position in the log of freed resources. Positions
 // start at 1; 0 is before all of them.
-func (c *Cell) Freed() uint64 { return c.freed.base + uint64(len(c.freed.refs)) + 1 }
+func (c *Cell) FreedPosition() uint64 { return c.freed.base + uint64(len(c.freed.refs)) + 1 }
 
 // MayFitSince reports whether a need that fitted no worker at position in the
 // log may fit one now. It returns true if the log no longer covers position.
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -75,7 +75,7 @@
 // mayFit reports whether room came free since a class was marked that could
 // take one of its tasks.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
-	position := s.cell.Freed()
+	position := s.cell.FreedPosition()
 	if class.Mark == position {
 		return false
 	}
@@ -102,7 +102,7 @@
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
 		if !s.placeGang(j) && !s.limited(j) {
-			j.item.Class().Mark = s.cell.Freed()
+			j.item.Class().Mark = s.cell.FreedPosition()
 		}
 		return
 	}
@@ -111,7 +111,7 @@
 		ref = s.lookHeld(j)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, j.need) {
-		j.item.Class().Mark = s.cell.Freed()
+		j.item.Class().Mark = s.cell.FreedPosition()
 		return
 	}
 	if !s.tryUse(j.team, j.units, j.item.Due) {
--- a/sched/service.go
+++ b/sched/service.go
@@ -217,7 +217,7 @@
 		ref = s.emptied(svc)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, svc.need) {
-		svc.mark = s.cell.Freed()
+		svc.mark = s.cell.FreedPosition()
 		return false
 	}
 	if !s.tryUse(svc.team, svc.units, s.now) {
