--- a/place/place_test.go
+++ b/place/place_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			randomChange(t, cell, placer)
 			need := randomResources(t, 16)
-			_, fitting := placer.Why(need, 0)
+			_, fitting := placer.Explain(need, 0)
 			if ref := placer.Pack(need, None); (ref != None) != (fitting > 0) {
 				t.Fatalf("%d workers fit %s, Pack returned %d", fitting, need, ref)
 			}
@@ -218,7 +218,7 @@
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			_, placer := filledCell(workers)
 			for i := 0; b.Loop(); i++ {
-				placer.Why(needFor(i), 0)
+				placer.Explain(needFor(i), 0)
 			}
 		})
 	}
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -118,7 +118,7 @@
 		ignore = place.BarHeld
 		e.Held = len(j.hold.workers)
 	}
-	rejections, fitting := s.asked.Why(j.need, ignore)
+	rejections, fitting := s.asked.Explain(j.need, ignore)
 	e.Feasible = fitting
 	for reason, workers := range rejections {
 		if workers > 0 {
