--- a/place/rank.go
+++ b/place/rank.go
@@ -15,7 +15,7 @@
 type scoring struct {
 	need   resource.Vector
 	avoid  Ref // worker on which the last attempt failed
-	counts *Spread
+	counts *ReplicaCounts
 }
 
 // scorePacked prefers workers with the least CPU and memory left after the task
--- a/place/spread.go
+++ b/place/spread.go
@@ -2,21 +2,21 @@
 
 import "github.com/fireflyfold/fireflyfold/resource"
 
-// Spread counts the replicas of one service by worker and rack.
-type Spread struct {
+// ReplicaCounts counts the replicas of one service by worker and rack.
+type ReplicaCounts struct {
 	workers    map[Ref]int32
 	racks      []int32
 	maxPerRack int32
 }
 
 // NewSpread returns counts without replicas.
-func NewSpread() *Spread { return &Spread{workers: map[Ref]int32{}} }
+func NewSpread() *ReplicaCounts { return &ReplicaCounts{workers: map[Ref]int32{}} }
 
 // On returns the number of replicas on a worker.
-func (s *Spread) On(ref Ref) int32 { return s.workers[ref] }
+func (s *ReplicaCounts) On(ref Ref) int32 { return s.workers[ref] }
 
 // InRack returns the number of replicas in a rack.
-func (s *Spread) InRack(rack int32) int32 {
+func (s *ReplicaCounts) InRack(rack int32) int32 {
 	if int(rack) >= len(s.racks) {
 		return 0
 	}
@@ -25,7 +25,7 @@
 
 // Add adds delta to the replicas on a worker and in its rack: 1 for a new
 // replica, -1 for one that has ended.
-func (s *Spread) Add(c *Cell, ref Ref, delta int32) {
+func (s *ReplicaCounts) Add(c *Cell, ref Ref, delta int32) {
 	rack := c.workers[ref].Rack
 	for int(rack) >= len(s.racks) {
 		s.racks = append(s.racks, 0)
@@ -42,7 +42,7 @@
 // worker. It takes the racks with the fewest replicas that have a feasible
 // worker, and in these the worker with the fewest replicas, then the most free
 // resources. It returns the worker avoid only if no other in these racks fits.
-func (p *Placer) Spread(need resource.Vector, counts *Spread, avoid Ref) Ref {
+func (p *Placer) Spread(need resource.Vector, counts *ReplicaCounts, avoid Ref) Ref {
 	for perRack := int32(0); perRack <= counts.maxPerRack; perRack++ {
 		if ref := p.searchRacksWith(perRack, need, counts, avoid); ref != None {
 			return ref
@@ -53,7 +53,7 @@
 
 // searchRacksWith returns the best worker in all racks with perRack replicas,
 // or None.
-func (p *Placer) searchRacksWith(perRack int32, need resource.Vector, counts *Spread, avoid Ref) Ref {
+func (p *Placer) searchRacksWith(perRack int32, need resource.Vector, counts *ReplicaCounts, avoid Ref) Ref {
 	p.scoring = scoring{need: need, avoid: avoid, counts: counts}
 	best, lowest := None, int64(0)
 	for rack := range p.cell.racks.workers {
--- a/sched/service.go
+++ b/sched/service.go
@@ -19,7 +19,7 @@
 	units    int64
 	replicas map[ident.AttemptID]*attempt
 	order    []*attempt // the same, by start
-	spread   *place.Spread
+	spread   *place.ReplicaCounts
 
 	next     int    // index of the next replica
 	mark     uint64 // position in the log of freed room when none fitted
