--- a/place/place_test.go
+++ b/place/place_test.go
@@ -89,7 +89,7 @@
 		cell.Add(ident.WorkerID(fmt.Sprint(i)), fmt.Sprint(i/4), resource.Vector{MilliCPU: 4000, MemoryMiB: 4096})
 	}
 	need := resource.Vector{MilliCPU: 1000}
-	counts := NewSpread()
+	counts := NewReplicaCounts()
 	for range 12 {
 		ref := placer.Spread(need, counts, None)
 		cell.Reserve(ref, need)
--- a/place/spread.go
+++ b/place/spread.go
@@ -9,8 +9,8 @@
 	maxPerRack int32
 }
 
-// NewSpread returns counts without replicas.
-func NewSpread() *ReplicaCounts { return &ReplicaCounts{workers: map[Ref]int32{}} }
+// NewReplicaCounts returns counts without replicas.
+func NewReplicaCounts() *ReplicaCounts { return &ReplicaCounts{workers: map[Ref]int32{}} }
 
 // On returns the number of replicas on a worker.
 func (s *ReplicaCounts) On(ref Ref) int32 { return s.workers[ref] }
--- a/sched/service.go
+++ b/sched/service.go
@@ -36,7 +36,7 @@
 			id:       ev.Service,
 			job:      ev.Job,
 			replicas: map[ident.AttemptID]*attempt{},
-			spread:   place.NewSpread(),
+			spread:   place.NewReplicaCounts(),
 			last:     place.None,
 		}
 		s.services[ev.Service] = svc
