--- a/measure/gauge.go
+++ b/measure/gauge.go
@@ -121,7 +121,7 @@
 	if waiting < 2 {
 		return 0, false
 	}
-	queue.Divide(list)
+	queue.SetFairShares(list)
 	furthest := 0.0
 	for _, t := range list {
 		furthest = max(furthest, math.Abs(t.Used-t.Fair))
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -5,13 +5,13 @@
 	Weight int64
 	Used   float64 // dominant share in use
 	Wants  float64 // dominant share that the team could use, at least Used
-	Fair   float64 // fair share, set by Divide
+	Fair   float64 // fair share, set by SetFairShares
 }
 
-// Divide sets the fair share of each team. It divides the sum of the shares in
+// SetFairShares sets the fair share of each team. It divides the sum of the shares in
 // use by weight, with max-min fairness: no team gets more than it wants, and the
 // rest is divided among the other teams.
-func Divide(teams []Demand) {
+func SetFairShares(teams []Demand) {
 	remaining := 0.0
 	weights := int64(0)
 	for i := range teams {
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -60,7 +60,7 @@
 			demands[i].Wants = math.Inf(1)
 		}
 	}
-	queue.Divide(demands)
+	queue.SetFairShares(demands)
 	return demands
 }
 
