--- a/measure/gauge.go
+++ b/measure/gauge.go
@@ -124,7 +124,7 @@
 	queue.SetFairShares(list)
 	furthest := 0.0
 	for _, t := range list {
-		furthest = max(furthest, math.Abs(t.Used-t.Fair))
+		furthest = max(furthest, math.Abs(t.Used-t.FairShare))
 	}
 	return furthest, true
 }
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -2,10 +2,10 @@
 
 // Demand is the share of a zone that one team uses, wants and is entitled to.
 type Demand struct {
-	Weight int64
-	Used   float64 // dominant share in use
-	Wants  float64 // dominant share that the team could use, at least Used
-	Fair   float64 // fair share, set by SetFairShares
+	Weight    int64
+	Used      float64 // dominant share in use
+	Wants     float64 // dominant share that the team could use, at least Used
+	FairShare float64 // fair share, set by SetFairShares
 }
 
 // SetFairShares sets the fair share of each team. It divides the sum of the shares in
@@ -17,15 +17,15 @@
 	for i := range teams {
 		remaining += teams[i].Used
 		weights += teams[i].Weight
-		teams[i].Fair = -1
+		teams[i].FairShare = -1
 	}
 	for settled := true; settled; {
 		settled = false
 		perWeight := remaining / float64(max(weights, 1))
 		for i := range teams {
 			t := &teams[i]
-			if t.Fair < 0 && t.Wants <= perWeight*float64(t.Weight) {
-				t.Fair = t.Wants
+			if t.FairShare < 0 && t.Wants <= perWeight*float64(t.Weight) {
+				t.FairShare = t.Wants
 				remaining -= t.Wants
 				weights -= t.Weight
 				settled = true
@@ -34,8 +34,8 @@
 		}
 	}
 	for i := range teams {
-		if t := &teams[i]; t.Fair < 0 {
-			t.Fair = remaining * float64(t.Weight) / float64(max(weights, 1))
+		if t := &teams[i]; t.FairShare < 0 {
+			t.FairShare = remaining * float64(t.Weight) / float64(max(weights, 1))
 		}
 	}
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -108,7 +108,7 @@
 	teams := []Demand{{Weight: 1, Used: 0.7, Wants: 0.9}, {Weight: 1, Used: 0.1, Wants: 0.1}, {Weight: 3, Used: 0.2, Wants: 1}}
 	SetFairShares(teams)
 	for i, want := range []float64{0.225, 0.1, 0.675} {
-		if got := teams[i].Fair; got < want-1e-9 || got > want+1e-9 {
+		if got := teams[i].FairShare; got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("team %d: %v, want %v", i, got, want)
 		}
 	}
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -37,7 +37,7 @@
 	j := under.First(s.unlimited).Head().Owner
 	over := func(a *attempt) bool {
 		d := &demands[a.team.number]
-		return d.Used-d.Fair > shareSlack
+		return d.Used-d.FairShare > shareSlack
 	}
 	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/rebalancePart))
 	if found == 0 {
@@ -71,8 +71,8 @@
 	lacks := shareSlack
 	for i, t := range s.teamList {
 		d := &demands[i]
-		if d.Wants > d.Used && d.Fair-d.Used > lacks {
-			most, lacks = t, d.Fair-d.Used
+		if d.Wants > d.Used && d.FairShare-d.Used > lacks {
+			most, lacks = t, d.FairShare-d.Used
 		}
 	}
 	return most
