--- a/queue/order.go
+++ b/queue/order.go
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// Partial reports whether, since its last call, First skipped classes of a team
+// PartialScan reports whether, since its last call, First skipped classes of a team
 // for which it found nothing else to start. It resets the flag.
-func (q *Queue[T]) Partial() bool {
+func (q *Queue[T]) PartialScan() bool {
 	partial := q.partialScan
 	q.partialScan = false
 	return partial
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -17,7 +17,7 @@
 	urgentOver    float64 // multiple of its share up to which a team's urgent work comes first
 	urgent        int     // waiting urgent items of all teams
 	waiting       int
-	partialScan   bool        // a scan skipped classes; see Partial
+	partialScan   bool        // a scan skipped classes; see PartialScan
 	unusedClasses []*Class[T] // empty classes kept for reuse
 }
 
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -136,7 +136,7 @@
 		if item != nil {
 			return
 		}
-		if !q.Partial() || scans > needs/maxScan {
+		if !q.PartialScan() || scans > needs/maxScan {
 			t.Fatalf("scan %d: the class that fits was not found", scans)
 		}
 	}
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -30,7 +30,7 @@
 	if s.opts.FirstFit {
 		return
 	}
-	if s.queue.Partial() {
+	if s.queue.PartialScan() {
 		s.wake(&s.wakes.look, s.now+lookEvery)
 	}
 	s.displace()
