--- a/queue/order.go
+++ b/queue/order.go
@@ -76,7 +76,7 @@
 	}
 	var best *Class[T]
 	for _, team := range q.order {
-		if team.urgent == 0 || !q.UrgentWithin(team) {
+		if team.urgent == 0 || !q.WithinUrgentBound(team) {
 			continue
 		}
 		class := team.firstUrgent(admits)
@@ -90,9 +90,9 @@
 	return best
 }
 
-// UrgentWithin reports whether the team's share is within the bound up to which
+// WithinUrgentBound reports whether the team's share is within the bound up to which
 // its urgent work comes before all other work.
-func (q *Queue[T]) UrgentWithin(team *Team[T]) bool {
+func (q *Queue[T]) WithinUrgentBound(team *Team[T]) bool {
 	return q.Share(team) <= q.urgentOver*q.Entitled(team)
 }
 
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, t := range s.queue.Ordered() {
-		if s.queue.Urgent() > 0 && s.queue.UrgentWithin(t) {
+		if s.queue.Urgent() > 0 && s.queue.WithinUrgentBound(t) {
 			t.Each(func(class *queue.Class[*job]) bool {
 				if class.Shape.Urgent {
 					s.displaceFor(class, nil, nil)
