--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -80,7 +80,7 @@
 		if started > maxPressingStreak {
 			t.Fatal("older work never started")
 		}
-		team.Started(&Class[int]{Shape: Shape{Pressing: true}})
+		team.RecordStart(&Class[int]{Shape: Shape{Pressing: true}})
 	}
 }
 
--- a/queue/team.go
+++ b/queue/team.go
@@ -125,9 +125,9 @@
 	return best
 }
 
-// Started records that an item of the class was started. maxPressingStreak
+// RecordStart records that an item of the class was started. maxPressingStreak
 // applies to the starts recorded here.
-func (t *Team[T]) Started(class *Class[T]) {
+func (t *Team[T]) RecordStart(class *Class[T]) {
 	if class.Shape.Pressing {
 		t.pressingStreak++
 		return
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -164,7 +164,7 @@
 func (s *Scheduler) started(j *job) {
 	s.predictionDue(j)
 	s.weigh(j)
-	j.team.Started(j.item.Class())
+	j.team.RecordStart(j.item.Class())
 	if j.waiting() == 0 {
 		s.queue.Remove(&j.item)
 		s.endHold(j.hold)
