--- a/queue/item.go
+++ b/queue/item.go
@@ -43,9 +43,9 @@
 
 // Class holds the waiting items of one team and shape.
 type Class[T any] struct {
-	Shape Shape
-	Team  *Team[T]
-	Mark  uint64 // set by the caller: position at which the shape last failed to fit; zero at first
+	Shape    Shape
+	Team     *Team[T]
+	FailedAt uint64 // set by the caller: position at which the shape last failed to fit; zero at first
 
 	items   itemHeap[T]
 	teamPos int // position in Team.classes
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -152,7 +152,7 @@
 	} else {
 		class = &Class[T]{}
 	}
-	class.Shape, class.Team, class.Mark, class.teamPos = shape, team, 0, len(team.classes)
+	class.Shape, class.Team, class.FailedAt, class.teamPos = shape, team, 0, len(team.classes)
 	team.classes = append(team.classes, class)
 	team.byShape[shape] = class
 	return class
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -66,7 +66,7 @@
 // open reports whether the head of a class might start: its team's units were
 // not refused, and room came free since it last failed to fit.
 func (s *Scheduler) open(class *queue.Class[*job]) bool {
-	if class.Mark != 0 && !s.mayFit(class) {
+	if class.FailedAt != 0 && !s.mayFit(class) {
 		return false
 	}
 	return !s.blocked(class.Head().Owner.team, class.Shape.Units)
@@ -76,13 +76,13 @@
 // take one of its tasks.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
 	position := s.cell.FreedPosition()
-	if class.Mark == position {
+	if class.FailedAt == position {
 		return false
 	}
-	if s.cell.MayFitSince(class.Mark, &class.Shape.Need) {
+	if s.cell.MayFitSince(class.FailedAt, &class.Shape.Need) {
 		return true
 	}
-	class.Mark = position
+	class.FailedAt = position
 	return false
 }
 
@@ -102,7 +102,7 @@
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
 		if !s.placeGang(j) && !s.limited(j) {
-			j.item.Class().Mark = s.cell.FreedPosition()
+			j.item.Class().FailedAt = s.cell.FreedPosition()
 		}
 		return
 	}
@@ -111,7 +111,7 @@
 		ref = s.lookHeld(j)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, j.need) {
-		j.item.Class().Mark = s.cell.FreedPosition()
+		j.item.Class().FailedAt = s.cell.FreedPosition()
 		return
 	}
 	if !s.tryUse(j.team, j.units, j.item.Due) {
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -80,7 +80,7 @@
 // nearDeadline reports whether half of the time until the deadline of the head
 // of a class has passed.
 func (s *Scheduler) nearDeadline(class *queue.Class[*job]) bool {
-	if class.Shape.Urgent || class.Mark == 0 {
+	if class.Shape.Urgent || class.FailedAt == 0 {
 		return false
 	}
 	j := class.Head().Owner
