--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -72,8 +72,8 @@
 	return !s.blocked(class.Head().Owner.team, class.Shape.Units)
 }
 
-// mayFit reports whether room came free since a class was marked that could
-// take one of its tasks.
+// mayFit reports whether room that could take one task of the class came free
+// since class.FailedAt.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
 	position := s.cell.FreedPosition()
 	if class.FailedAt == position {
@@ -98,7 +98,7 @@
 }
 
 // start starts one task of a job, or all of a gang. If there is no room it
-// marks the class of the job.
+// sets FailedAt of the job's class.
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
 		if !s.placeGang(j) && !s.limited(j) {
