--- a/place/freed.go
+++ b/place/freed.go
@@ -23,8 +23,8 @@
 	l.refs = append(l.refs, ref)
 }
 
-// FreedPosition returns the current position in the log of freed resources. Positions
-// start at 1; 0 is before all of them.
+// FreedPosition returns the current position in the log of freed resources.
+// Positions start at 1; 0 is before all of them.
 func (c *Cell) FreedPosition() uint64 { return c.freed.base + uint64(len(c.freed.refs)) + 1 }
 
 // MayFitSince reports whether a need that fitted no worker at position in the
--- a/place/select.go
+++ b/place/select.go
@@ -72,8 +72,8 @@
 	return p.search(need, &p.all, 0, 1, scoreEqual)
 }
 
-// Explain checks the need against all workers, disregarding the bars in ignore. It
-// returns the rejections by reason and the number of feasible workers.
+// Explain checks the need against all workers, disregarding the bars in ignore.
+// It returns the rejections by reason and the number of feasible workers.
 func (p *Placer) Explain(need resource.Vector, ignore Bars) (Rejections, int) {
 	p.all.at = 0
 	p.feasible.from = &p.all
--- a/queue/order.go
+++ b/queue/order.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// PartialScan reports whether, since its last call, First skipped classes of a team
-// for which it found nothing else to start. It resets the flag.
+// PartialScan reports whether, since its last call, First skipped classes of a
+// team for which it found nothing else to start. It resets the flag.
 func (q *Queue[T]) PartialScan() bool {
 	partial := q.partialScan
 	q.partialScan = false
