--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -11,13 +11,12 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Small tasks arrive all the time, each ends after a while, and a job needs
-// most of the zone at once. Without a hold its users wait for ever, because
-// every core that comes free is taken by the next small task.
+// A gang needs half of the zone while small tasks arrive constantly. Without a
+// hold it starves, because the next small task takes every freed core.
 func TestGangDoesNotStarveBehindSmallWork(t *testing.T) {
 	for _, hold := range []Hold{HoldPlanned, HoldDrain, HoldNone} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
-			w := zone(t, 4, Options{Hold: hold, KeepRunning: true})
+			w := newZone(t, 4, Options{Hold: hold, KeepRunning: true})
 			feed := func() {
 				for w.s.Waiting() < 20 {
 					w.accept(batch("small", 2, 1))
@@ -37,10 +36,10 @@
 	}
 }
 
-// While workers are held for a large job, short work may use them, long work
-// may not: users of short work should not pay for a hold.
+// Workers are held for a large job. Tasks that end before its planned start may
+// use them, so a hold does not delay short work; longer tasks may not.
 func TestShortWorkRunsOnHeldWorkers(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+	w := newZone(t, 2, Options{KeepRunning: true})
 	long := batch("a", 5, 1)
 	long.Run = time.Hour
 	w.accept(long)
@@ -57,11 +56,11 @@
 	}
 }
 
-// Urgent work meets a zone that is full of displaceable tasks: it starts as
-// soon as one of them has been checkpointed, and that one starts again later.
-// A task that was displaced as often as the bound allows is left alone.
-func TestUrgentWorkDisplacesWithinABound(t *testing.T) {
-	w := zone(t, 1, Options{MaxDisplaced: 2, KeepRunning: true})
+// The zone is full of displaceable work when an urgent job arrives. The job
+// starts once a task has been checkpointed, and that task starts again later. A
+// task that was displaced MaxDisplaced times is not displaced again.
+func TestTaskIsDisplacedAtMostMaxDisplacedTimes(t *testing.T) {
+	w := newZone(t, 1, Options{MaxDisplaced: 2, KeepRunning: true})
 	plain := batch("a", 8, 1)
 	plain.Displaceable = true
 	victim := w.accept(plain)
@@ -88,11 +87,11 @@
 	}
 }
 
-// One worker fails whatever it gets, at once, and is therefore always free.
-// Without quarantine it draws every job of the zone until all have failed; with
-// it all jobs succeed, and when the worker is mended it is used again.
-func TestWorkerThatFailsEverything(t *testing.T) {
-	w := zone(t, 4, Options{})
+// One worker fails every task immediately and is therefore always idle. Without
+// quarantine every job of the zone would be placed on it until all had failed.
+// With quarantine all jobs succeed, and the worker is used again after repair.
+func TestWorkerThatFailsEveryTaskIsQuarantined(t *testing.T) {
+	w := newZone(t, 4, Options{})
 	bad := worker(0)
 	var jobs []ident.JobID
 	for i := range 60 {
@@ -100,12 +99,12 @@
 		spec.Name = fmt.Sprint(i % 5)
 		jobs = append(jobs, w.accept(spec))
 	}
-	tried := 0
+	placed := 0
 	for turn := 0; len(w.ended) < len(jobs) && turn < 2000; turn++ {
 		w.pass(time.Second)
 		for i := len(w.running) - 1; i >= 0; i-- {
 			if w.running[i].Worker == bad {
-				tried++
+				placed++
 				w.end(i, AttemptEnded{Failed: true, Reason: "broken disk"})
 			} else if turn%4 == i%4 {
 				w.end(i, AttemptEnded{Ran: time.Second})
@@ -117,8 +116,8 @@
 			t.Fatalf("job %s: %+v", job, end)
 		}
 	}
-	if tried > 12 {
-		t.Errorf("the broken worker was tried %d times", tried)
+	if placed > 12 {
+		t.Errorf("%d tasks were placed on the broken worker, want at most 12", placed)
 	}
 	w.pass(time.Hour)
 	job := w.accept(batch("a", 8, 4))
@@ -126,14 +125,14 @@
 		w.end(0, AttemptEnded{Ran: time.Second})
 	}
 	if _, ended := w.ended[job]; !ended || w.s.sick != 0 {
-		t.Errorf("the job ended: %v; %d workers are set aside", ended, w.s.sick)
+		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.sick)
 	}
 }
 
-// One team's jobs all fail, wherever they run. The workers are fine: another
-// team must find all of them in use, and none set aside.
-func TestBrokenWorkSetsNoWorkerAside(t *testing.T) {
-	w := zone(t, 8, Options{})
+// All jobs of one team fail on every worker. The workers are healthy and must
+// not be quarantined, or the other teams would lose their capacity.
+func TestFailingJobsDoNotQuarantineWorkers(t *testing.T) {
+	w := newZone(t, 8, Options{})
 	for i := range 100 {
 		spec := batch("broken", 8, 1)
 		spec.Name = "same"
@@ -145,14 +144,14 @@
 		w.pass(time.Second)
 	}
 	if w.s.sick != 0 {
-		t.Errorf("%d workers are set aside", w.s.sick)
+		t.Errorf("%d workers are quarantined, want 0", w.s.sick)
 	}
 }
 
-// A team floods the zone. A team within its share starts its work as soon as
-// anything ends, however many jobs of the other wait.
+// One team submits 5,000 jobs. Work of another team that is within its fair
+// share starts as soon as any task ends, regardless of that backlog.
 func TestFloodDoesNotDelayAnotherTeam(t *testing.T) {
-	w := zone(t, 4, Options{KeepRunning: true})
+	w := newZone(t, 4, Options{KeepRunning: true})
 	w.step(TeamsChanged{Teams: []Team{{ID: "flood", Weight: 1}, {ID: "calm", Weight: 1}}})
 	for range 5000 {
 		w.accept(batch("flood", 1, 1))
@@ -160,14 +159,14 @@
 	job := w.accept(batch("calm", 1, 1))
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(job)) != 1 {
-		t.Errorf("the team within its share waits behind a flood")
+		t.Errorf("the job of the team within its fair share did not start")
 	}
 }
 
-// The upper limit refuses units: the engine is told, and when units come back
-// the work starts. If that word is lost, the scheduler asks again by itself.
-func TestUpperLimit(t *testing.T) {
-	w := zone(t, 2, Options{})
+// Limit units are refused. The scheduler emits a Want, and the work starts after
+// the limit is raised. It retries by itself if no LimitChanged arrives.
+func TestWorkBlockedByLimitStartsAfterItIsRaised(t *testing.T) {
+	w := newZone(t, 2, Options{})
 	w.units.limit["a"] = 2
 	w.accept(batch("a", 1, 3))
 	if want := (Want{Team: "a", Units: 1}); len(w.running) != 2 || w.commands[2] != Command(want) {
@@ -180,11 +179,11 @@
 	}
 }
 
-// Units are refused twice within a second, then the limit is raised and the
-// word of it is lost. The retry of the first refusal comes before the second
-// one lapses: it must not be the last.
-func TestUpperLimitIsTriedAgainAfterASecondRefusal(t *testing.T) {
-	w := zone(t, 1, Options{})
+// Limit units are refused twice within a second. Then the limit is raised and
+// the LimitChanged event is lost. The retry timer of the first refusal fires
+// before the second refusal expires, so another timer must follow.
+func TestLimitIsRetriedAfterASecondRefusal(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	w.units.limit["a"] = 1
 	w.accept(batch("a", 1, 2))
 	w.now += refusalFor / 2
@@ -196,11 +195,11 @@
 	}
 }
 
-// A worker is to be removed in a planned change. Callers of the service must
-// never find fewer replicas than declared: the replacement starts first, in
-// another rack if it can, and only then is the old replica stopped.
-func TestServiceIsReplacedBeforeItIsRemoved(t *testing.T) {
-	w := zone(t, 6, Options{})
+// A worker is drained before a planned removal. The service must not have fewer
+// replicas than declared: the old replica is stopped only after its replacement
+// has started, in another rack if possible.
+func TestReplicaIsReplacedBeforeItIsStopped(t *testing.T) {
+	w := newZone(t, 6, Options{})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
 	w.step(ServiceDeclared{Service: "s", Job: service, Team: "a", Replicas: 3, Need: cpu(2)})
 	racks := map[string]bool{}
@@ -229,10 +228,11 @@
 	}
 }
 
-// The worker of a replica is lost while batch work fills the zone. Callers would
-// find one replica less until some batch task ends, which may take hours.
-func TestLostReplicaMakesRoomForItself(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+// The worker of a replica is lost while batch work fills the zone. Without
+// displacement the replica would be missing until a batch task ends, which may
+// take hours.
+func TestLostReplicaDisplacesBatchWork(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	service := ident.JobID{Zone: "a", Host: "h", Incarnation: 2, Seq: 1}
 	w.step(ServiceDeclared{Service: "s", Job: service, Team: "a", Replicas: 1, Need: cpu(2)})
 	lost := w.running[0].Worker
@@ -254,9 +254,10 @@
 	}
 }
 
-// A job waits and an operator asks why.
-func TestExplanation(t *testing.T) {
-	w := zone(t, 3, Options{})
+// The explanation of a waiting job names what an operator needs to know: its
+// place in the queue, the rejected workers by reason and the predicted start.
+func TestExplainShowsWhyAJobWaits(t *testing.T) {
+	w := newZone(t, 3, Options{})
 	w.step(WorkerCordoned{Worker: worker(2), Cordoned: true})
 	w.shut[worker(2)] = true
 	w.accept(batch("b", 8, 2))
@@ -274,14 +275,14 @@
 	}
 	running := w.s.Explain(w.now, w.running[0].ID.Job).Words()
 	if !strings.Contains(running, "runs on "+string(w.running[0].Worker)) {
-		t.Errorf("no place in:\n%s", running)
+		t.Errorf("worker of the running task is missing in:\n%s", running)
 	}
 }
 
-// An approval runs that is marked displaceable by mistake. Displacing it would
-// need a second attempt, so urgent work has to wait for its end.
-func TestApprovalsAreNotDisplaced(t *testing.T) {
-	w := zone(t, 1, Options{})
+// A running non-idempotent task is marked displaceable by mistake. Displacing it
+// would require a second attempt, so urgent work must wait until it ends.
+func TestNonIdempotentWorkIsNotDisplaced(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	spec := batch("a", 8, 1)
 	spec.Displaceable, spec.NonIdempotent = true, true
 	w.accept(spec)
@@ -294,10 +295,10 @@
 	}
 }
 
-// A held worker is removed. The hold would keep the other workers idle for a
-// start that cannot come.
-func TestHoldEndsWithItsWorker(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+// A held worker is removed. If the hold continued, it would keep the other
+// workers idle for a start that can no longer happen.
+func TestHoldEndsWhenItsWorkerIsRemoved(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	w.accept(batch("a", 5, 2))
 	w.accept(gang("b", 8, 2))
 	w.pass(5 * time.Second)
@@ -306,14 +307,14 @@
 	}
 	w.remove(worker(0))
 	if held := w.s.cell.Worker(1).Bars; len(w.s.holds) != 0 || held != 0 {
-		t.Errorf("%d holds, bars %d", len(w.s.holds), held)
+		t.Errorf("%d holds and bars %d on the other worker, want none", len(w.s.holds), held)
 	}
 }
 
-// A team filled the zone while it was alone. When another team's work arrives,
-// the first must not keep everything until its long tasks end.
-func TestSharesComeTogether(t *testing.T) {
-	w := zone(t, 4, Options{})
+// A team without competition fills the zone with long tasks. When work of another
+// team arrives, the shares must become equal before those tasks end.
+func TestRebalanceReachesFairShares(t *testing.T) {
+	w := newZone(t, 4, Options{})
 	long := batch("first", 1, 64)
 	long.Displaceable = true
 	w.accept(long)
@@ -327,14 +328,14 @@
 		}
 	}
 	if got := len(w.runningOf(job)); got < 15 || got > 17 {
-		t.Errorf("the second team runs %d of 32 tasks", got)
+		t.Errorf("the second team runs %d of 32 tasks, want 15 to 17", got)
 	}
 }
 
-// Two jobs of one team wait, the later one with an earlier deadline: that one
-// starts first.
-func TestEarliestDeadlineFirst(t *testing.T) {
-	w := zone(t, 1, Options{})
+// Two jobs of one team wait. The one with the earlier deadline starts first,
+// although it was accepted later.
+func TestEarliestDeadlineStartsFirst(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	w.accept(batch("a", 8, 1))
 	relaxed, tight := batch("a", 8, 1), batch("a", 8, 1)
 	relaxed.Deadline, tight.Deadline = time.Hour, time.Minute
@@ -342,15 +343,15 @@
 	job := w.accept(tight)
 	w.end(0, AttemptEnded{})
 	if len(w.runningOf(job)) != 1 {
-		t.Errorf("the later deadline went first")
+		t.Errorf("the job with the earlier deadline did not start first")
 	}
 }
 
-// A team alone in its zone fills it with long tasks, and then an approval of
-// the same team arrives. Nothing ends before its deadline: a citizen would be
-// told that it did not run although the team had room to give.
-func TestOwnWorkMakesRoomNearADeadline(t *testing.T) {
-	w := zone(t, 1, Options{})
+// A team fills its zone with long tasks, then submits an approval with a
+// deadline. No task ends before that deadline: without displacement the approval
+// would end as not run, although the team has displaceable work of its own.
+func TestWorkNearItsDeadlineDisplacesWorkOfItsTeam(t *testing.T) {
+	w := newZone(t, 1, Options{})
 	long := batch("a", 4, 2)
 	long.Displaceable = true
 	w.accept(long)
@@ -370,11 +371,11 @@
 	}
 }
 
-// The control that checkpoints a task is lost, and later its worker turns out
-// not to checkpoint at all. The control must be sent again, and the worker must
-// not stay idle for urgent work that it cannot make room for.
-func TestControlThatIsNotFollowed(t *testing.T) {
-	w := zone(t, 1, Options{Hold: HoldNone})
+// A worker does not execute the control that checkpoints a task, because the
+// control is lost or the worker cannot checkpoint. The control must be resent,
+// and the hold of the worker for urgent work must end.
+func TestControlIsResentAndItsHoldEnds(t *testing.T) {
+	w := newZone(t, 1, Options{Hold: HoldNone})
 	long := batch("a", 6, 1)
 	long.Displaceable = true
 	w.accept(long)
@@ -388,22 +389,22 @@
 				sent++
 			}
 		}
-		w.now += controlEvery
+		w.now += controlResendInterval
 		w.step(Tick{})
 	}
 	if sent < 5 {
-		t.Errorf("the control was sent %d times", sent)
+		t.Errorf("the control was sent %d times, want at least 5", sent)
 	}
 	if job := w.accept(batch("c", 2, 1)); len(w.runningOf(job)) != 1 {
 		t.Errorf("the worker is still held")
 	}
 }
 
-// A task is checkpointed for urgent work and does not stop. The urgent work
-// must not wait until its worker is given up: after a second another task makes
-// room for it.
-func TestUrgentWorkDoesNotWaitForATaskThatDoesNotStop(t *testing.T) {
-	w := zone(t, 2, Options{KeepRunning: true})
+// A task is checkpointed for urgent work and does not stop. The urgent work must
+// not wait until the hold of that worker ends (30 s): after 1 s another task is
+// displaced.
+func TestUrgentWorkDisplacesAnotherTaskWhenOneDoesNotStop(t *testing.T) {
+	w := newZone(t, 2, Options{KeepRunning: true})
 	plain := batch("a", 8, 2)
 	plain.Displaceable = true
 	w.accept(plain)
@@ -411,10 +412,10 @@
 	urgent.Urgent = true
 	w.accept(urgent)
 	if n := len(w.controls); n != 1 {
-		t.Fatalf("%d tasks were told to stop at once, want 1", n)
+		t.Fatalf("%d tasks got a control at once, want 1", n)
 	}
-	w.pass(comingFor)
+	w.pass(stopGrace)
 	if n := len(w.controls); n != 2 {
-		t.Errorf("%d tasks were told to stop after %s, want 2", n, comingFor)
+		t.Errorf("%d tasks got a control after %s, want 2", n, stopGrace)
 	}
 }
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -35,7 +35,7 @@
 	dirty       bool   // something happened that could let work start
 	planAt      timeOf // no planning before this time
 	planner     planner
-	making      []emptying
+	making      []displacement
 	displaceAt  timeOf                                           // no displacing before this time
 	rebalanceAt timeOf                                           // no rebalancing before this time
 	wakes       struct{ plan, displace, rebalance, look timeOf } // last wake-ups that were set
@@ -60,7 +60,7 @@
 		services:  map[ident.ServiceID]*service{},
 		serviceOf: map[ident.JobID]*service{},
 	}
-	s.openFunc = s.open
+	s.openFunc = s.mayStart
 	return s
 }
 
@@ -83,8 +83,8 @@
 	newest := s.newest
 	s.newest = nil
 	if newest != nil && !s.dirty {
-		s.startAlike(newest)
-		s.makeRoom()
+		s.startSameClass(newest)
+		s.freeCapacity()
 	}
 	if s.dirty {
 		s.dirty = false
