--- a/place/cell.go
+++ b/place/cell.go
@@ -58,8 +58,8 @@
 	return &Cell{refs: map[ident.WorkerID]Ref{}, racks: newRackSet(), index: newIndex()}
 }
 
-// ComputeResources returns the resources in v that the compute lease of a worker covers:
-// CPU, memory and accelerators.
+// ComputeResources returns the resources in v that the compute lease of a
+// worker covers: CPU, memory and accelerators.
 func ComputeResources(v resource.Vector) resource.Vector {
 	return resource.Vector{MilliCPU: v.MilliCPU, MemoryMiB: v.MemoryMiB, Accelerators: v.Accelerators}
 }
@@ -183,7 +183,7 @@
 }
 
 // Release returns the resources of a task that has ended and records the
-// worker in the log of freed resources.
+// worker in the log of freed capacity.
 func (c *Cell) Release(ref Ref, need resource.Vector) {
 	c.Unreserve(ref, need)
 	if c.workers[ref].Bars&^BarHeld == 0 {
@@ -191,8 +191,8 @@
 	}
 }
 
-// Unreserve reverts a reservation that was never used. Unlike Release it does not
-// record the worker as freed, so pending work is not retried because of it.
+// Unreserve reverts a reservation that was never used. Unlike Release it does
+// not record the worker as freed, so waiting work is not retried because of it.
 func (c *Cell) Unreserve(ref Ref, need resource.Vector) {
 	w := &c.workers[ref]
 	w.Free = w.Free.Add(need)
@@ -241,9 +241,9 @@
 	return largest
 }
 
-// TaskCapacity returns how many tasks with the need fit on all workers when they are
-// empty, at most maxTasks. Workers with bars are counted, because the bars may
-// be cleared later.
+// TaskCapacity returns how many tasks with the need fit on all workers when
+// they are empty, at most maxTasks. Workers with bars are counted, because the
+// bars may be cleared later.
 func (c *Cell) TaskCapacity(need resource.Vector, maxTasks int64) int64 {
 	tasks := int64(0)
 	for i := range c.workers {
--- a/place/freed.go
+++ b/place/freed.go
@@ -2,11 +2,11 @@
 
 import "github.com/fireflyfold/fireflyfold/resource"
 
-// maxFreed is the maximum number of entries in the log of freed resources. For
+// maxFreed is the maximum number of entries in the log of freed capacity. For
 // positions before the first kept entry MayFitSince returns true.
 const maxFreed = 512
 
-// freedLog lists the workers on which resources became free, in order. A task
+// freedLog lists the workers on which capacity was freed, in order. A task
 // that fitted no worker at one position of the log can only fit a worker that
 // was logged after it.
 type freedLog struct {
@@ -23,7 +23,7 @@
 	l.refs = append(l.refs, ref)
 }
 
-// FreedPosition returns the current position in the log of freed resources.
+// FreedPosition returns the current position in the log of freed capacity.
 // Positions start at 1; 0 is before all of them.
 func (c *Cell) FreedPosition() uint64 { return c.freed.base + uint64(len(c.freed.refs)) + 1 }
 
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -8,9 +8,9 @@
 	FairShare float64 // fair share, set by SetFairShares
 }
 
-// SetFairShares sets the fair share of each team. It divides the sum of the shares in
-// use by weight, with max-min fairness: no team gets more than it wants, and the
-// rest is divided among the other teams.
+// SetFairShares sets the fair share of each team. It divides the sum of the
+// shares in use by weight, with max-min fairness: no team gets more than it
+// wants, and the rest is divided among the other teams.
 func SetFairShares(teams []Demand) {
 	remaining := 0.0
 	weights := int64(0)
--- a/queue/order.go
+++ b/queue/order.go
@@ -90,8 +90,8 @@
 	return best
 }
 
-// WithinUrgentBound reports whether the team's share is within the bound up to which
-// its urgent work comes before all other work.
+// WithinUrgentBound reports whether the team's share is within the bound up to
+// which its urgent work comes before all other work.
 func (q *Queue[T]) WithinUrgentBound(team *Team[T]) bool {
 	return q.Share(team) <= q.urgentOver*q.Entitled(team)
 }
