--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -91,7 +91,7 @@
 	if a.stopping != "" {
 		a.team.stopping = a.team.stopping.Sub(a.need)
 	}
-	s.cell.Measured(a.worker, -a.excessCPU)
+	s.cell.AddExcess(a.worker, -a.excessCPU)
 	s.cell.Release(a.worker, a.need)
 	s.queue.Release(a.team.Team, a.need)
 	s.doneUnits(a.team, a.units)
@@ -314,7 +314,7 @@
 		return
 	}
 	excess := max(ev.Usage.MilliCPU-a.need.MilliCPU, 0)
-	s.cell.Measured(a.worker, excess-a.excessCPU)
+	s.cell.AddExcess(a.worker, excess-a.excessCPU)
 	a.excessCPU = excess
 	if ev.Ran > 0 {
 		a.since = s.now - ev.Ran
