--- a/sched/plan.go
+++ b/sched/plan.go
@@ -10,24 +10,24 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// planner works out when room is expected to come free. Its slices are kept
+// planner estimates when workers will have room for a job. It reuses its slices
 // between plans.
 type planner struct {
-	ends endHeap
-	free []resource.Vector // by place.Ref
-	refs []place.Ref
-	room []int64 // by place.Ref: tasks of the planned job
+	ends    endHeap
+	free    []resource.Vector // by place.Ref
+	refs    []place.Ref
+	fitting []int64 // by place.Ref: tasks of the planned job that fit
 }
 
 // plannedEnd is the expected end of a running attempt.
 type plannedEnd struct {
-	at   timeOf
+	at   monotonicTime
 	ref  place.Ref
 	need resource.Vector
 }
 
-// endHeap is a heap of expected ends, the earliest first. Few of them have to
-// come out before a task fits, so that sorting all would be wasted.
+// endHeap is a min-heap of expected ends. Usually a task fits after a few ends,
+// so sorting all of them would be wasted.
 type endHeap []plannedEnd
 
 func (h endHeap) Len() int           { return len(h) }
@@ -36,45 +36,48 @@
 func (h *endHeap) Push(x any)        { *h = append(*h, x.(plannedEnd)) }
 func (h *endHeap) Pop() any          { *h = (*h)[:len(*h)-1]; return nil }
 
-// A plan looks at so many workers, or at so many for each task if that is more.
+// A plan samples minPlanWorkers workers, or planWorkersPerTask for each task if
+// that is more.
 const (
-	planWorkers = 1024
-	planFactor  = 4
+	minPlanWorkers     = 1024
+	planWorkersPerTask = 4
 )
 
-// stopTime is how long a task is expected to take to checkpoint and stop.
+// stopTime is the time that a task is expected to take to checkpoint and stop.
 const stopTime = 2 * time.Second
 
-// leastLeft is the least time that a running task is expected to go on.
-const leastLeft = time.Second
+// minTimeLeft is the minimum expected remaining time of a running task.
+const minTimeLeft = time.Second
 
-// expectedEnd returns when an attempt is expected to end. One that ran over
-// its expected time is given a quarter of what it ran so far.
-func (s *Scheduler) expectedEnd(a *attempt) timeOf {
+// expectedEnd returns when an attempt is expected to end. The remaining time is
+// at least a quarter of its run time so far, which covers attempts that run
+// longer than expected.
+func (s *Scheduler) expectedEnd(a *attempt) monotonicTime {
 	if a.stopping != "" && s.now < a.stopAt+maxDisplacementHold {
 		return s.now + stopTime
 	}
 	ran := s.now - a.since
-	return s.now + max(a.expected-ran, ran/4, leastLeft)
+	return s.now + max(a.expected-ran, ran/4, minTimeLeft)
 }
 
-// earliest returns the earliest time at which a job is expected to fit, and
-// the workers on which it will. It reports false if it will not without a
-// change of the workers.
+// earliest returns the earliest time at which a job is expected to fit, and the
+// workers on which it will fit. It reports false if the sampled workers have no
+// room even after all their running tasks have ended; replicas do not end.
 //
-// Workers with bars count only if they have no others than ignore.
-func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (timeOf, []place.Ref, bool) {
-	missing := p.wanted(j)
-	p.sample(s, max(planWorkers, planFactor*int(missing)), ignore)
-	at, ok := p.run(s, j, p.refs, missing)
+// Workers with bars other than ignore are left out.
+func (p *planner) earliest(s *Scheduler, j *job, ignore place.Bars) (monotonicTime, []place.Ref, bool) {
+	missing := p.tasksToFit(j)
+	p.sample(s, max(minPlanWorkers, planWorkersPerTask*int(missing)), ignore)
+	at, ok := p.simulate(s, j, p.refs, missing)
 	if !ok {
 		return 0, nil, false
 	}
 	return at, p.choose(s, j, missing), true
 }
 
-// sample takes workers that take new tasks, at most so many, each time from
-// another place on, so that a plan has a bounded cost in a zone of any size.
+// sample collects at most `most` workers that accept new tasks. The first index
+// moves with each job that arrives. The limit bounds the cost of a plan in a
+// large zone.
 func (p *planner) sample(s *Scheduler, most int, ignore place.Bars) {
 	p.refs = p.refs[:0]
 	n := s.cell.Refs()
@@ -87,25 +90,26 @@
 }
 
 // planOn returns when a job is expected to fit on the given workers alone.
-func (s *Scheduler) planOn(j *job, refs []place.Ref) (timeOf, bool) {
-	return s.planner.run(s, j, refs, s.planner.wanted(j))
+func (s *Scheduler) planOn(j *job, refs []place.Ref) (monotonicTime, bool) {
+	return s.planner.simulate(s, j, refs, s.planner.tasksToFit(j))
 }
 
-func (p *planner) wanted(j *job) int64 {
+func (p *planner) tasksToFit(j *job) int64 {
 	if j.gang() {
 		return int64(j.spec.Tasks)
 	}
 	return 1
 }
 
-// run lets the running attempts on the workers end one after the other until
-// `missing` tasks of the job fit.
-func (p *planner) run(s *Scheduler, j *job, refs []place.Ref, missing int64) (timeOf, bool) {
+// simulate ends the running attempts on the workers, in order of expected end,
+// until `missing` tasks of the job fit. It returns the time of the last end, and
+// whether the tasks fit.
+func (p *planner) simulate(s *Scheduler, j *job, refs []place.Ref, missing int64) (monotonicTime, bool) {
 	p.load(s, j, refs)
 	fits := int64(0)
 	for _, ref := range refs {
-		p.room[ref] = place.Count(j.need, p.free[ref], missing)
-		fits += p.room[ref]
+		p.fitting[ref] = place.Count(j.need, p.free[ref], missing)
+		fits += p.fitting[ref]
 	}
 	at := s.now
 	for len(p.ends) > 0 && (fits < missing || p.ends[0].at <= at) {
@@ -114,17 +118,18 @@
 		at = max(at, end.at)
 		p.free[end.ref] = p.free[end.ref].Add(end.need)
 		room := place.Count(j.need, p.free[end.ref], missing)
-		fits += room - p.room[end.ref]
-		p.room[end.ref] = room
+		fits += room - p.fitting[end.ref]
+		p.fitting[end.ref] = room
 	}
 	return at, fits >= missing
 }
 
-// load copies the free room of the workers and collects the expected ends.
+// load copies the free resources of the workers and collects the expected ends
+// of their attempts.
 func (p *planner) load(s *Scheduler, j *job, refs []place.Ref) {
 	for len(p.free) < s.cell.Refs() {
 		p.free = append(p.free, resource.Vector{})
-		p.room = append(p.room, 0)
+		p.fitting = append(p.fitting, 0)
 	}
 	p.ends = p.ends[:0]
 	for _, ref := range refs {
@@ -132,7 +137,7 @@
 		if !j.need.Fits(s.cell.Worker(ref).Size) {
 			continue
 		}
-		for _, a := range s.host(ref).attempts {
+		for _, a := range s.workerState(ref).attempts {
 			if a.service == nil || a.stopping != "" {
 				p.ends = append(p.ends, plannedEnd{at: s.expectedEnd(a), ref: ref, need: a.need})
 			}
@@ -141,8 +146,9 @@
 	heap.Init(&p.ends)
 }
 
-// choose returns the fewest workers that will hold the job, those with most
-// room for it now first, because less of it is kept idle there.
+// choose returns sampled workers that have room for the job at the planned
+// time. It prefers workers with the most room for the job now, where a hold
+// keeps fewer resources idle.
 func (p *planner) choose(s *Scheduler, j *job, missing int64) []place.Ref {
 	slices.SortFunc(p.refs, func(a, b place.Ref) int {
 		now := cmp.Compare(
@@ -152,7 +158,7 @@
 		if now != 0 {
 			return now
 		}
-		if then := cmp.Compare(p.room[b], p.room[a]); then != 0 {
+		if then := cmp.Compare(p.fitting[b], p.fitting[a]); then != 0 {
 			return then
 		}
 		return cmp.Compare(a, b)
@@ -162,15 +168,15 @@
 		if missing <= 0 {
 			break
 		}
-		if p.room[ref] > 0 {
+		if p.fitting[ref] > 0 {
 			chosen = append(chosen, ref)
-			missing -= p.room[ref]
+			missing -= p.fitting[ref]
 		}
 	}
 	return chosen
 }
 
-// largest returns a worker with the most processors, or nil.
+// largest returns a worker with the most CPU, or nil if there is no worker.
 func (s *Scheduler) largest() *place.Worker {
 	var most *place.Worker
 	for ref := place.Ref(0); int(ref) < s.cell.Refs(); ref++ {
--- a/sched/policy_test.go
+++ b/sched/policy_test.go
@@ -124,8 +124,8 @@
 	for len(w.running) > 0 {
 		w.end(0, AttemptEnded{Ran: time.Second})
 	}
-	if _, ended := w.ended[job]; !ended || w.s.sick != 0 {
-		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.sick)
+	if _, ended := w.ended[job]; !ended || w.s.quarantined != 0 {
+		t.Errorf("job ended: %v; %d workers are quarantined, want 0", ended, w.s.quarantined)
 	}
 }
 
@@ -143,8 +143,8 @@
 		}
 		w.pass(time.Second)
 	}
-	if w.s.sick != 0 {
-		t.Errorf("%d workers are quarantined, want 0", w.s.sick)
+	if w.s.quarantined != 0 {
+		t.Errorf("%d workers are quarantined, want 0", w.s.quarantined)
 	}
 }
 
@@ -173,7 +173,7 @@
 		t.Fatalf("%d run, commands %v", len(w.running), w.commands)
 	}
 	w.units.limit["a"] = 3
-	w.pass(refusalFor)
+	w.pass(limitRetryDelay)
 	if len(w.running) != 3 {
 		t.Errorf("%d run after the limit was raised", len(w.running))
 	}
@@ -186,10 +186,10 @@
 	w := newZone(t, 1, Options{})
 	w.units.limit["a"] = 1
 	w.accept(batch("a", 1, 2))
-	w.now += refusalFor / 2
+	w.now += limitRetryDelay / 2
 	w.step(LimitChanged{Team: "a"})
 	w.units.limit["a"] = 2
-	w.pass(refusalFor)
+	w.pass(limitRetryDelay)
 	if len(w.running) != 2 {
 		t.Errorf("%d run after the limit was raised", len(w.running))
 	}
--- a/sched/property_test.go
+++ b/sched/property_test.go
@@ -16,11 +16,11 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Over random orders of events: no worker gets more than its size, no team
-// more than its limit, gangs start whole, no attempt is assigned twice, no room
-// stays idle that waiting work could use, and in the end every job has ended
-// and nothing is left reserved.
-func TestPromisesHoldInAnyOrderOfEvents(t *testing.T) {
+// For random sequences of events: no worker is assigned more than its size, no
+// team more than its limit, all tasks of a gang start together, no attempt is
+// assigned twice, and no waiting work fits into idle room. At the end every job
+// has ended and no resources or units are reserved.
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{
 			Hold:      rapid.SampledFrom([]Hold{HoldPlanned, HoldDrain, HoldNone}).Draw(t, "hold"),
@@ -35,10 +35,10 @@
 		steps := rapid.IntRange(1, 80).Draw(t, "steps")
 		for range steps {
 			w.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			w.random(t)
-			w.conserves()
+			w.randomEvent(t)
+			w.checkWorkConserving()
 		}
-		w.drain()
+		w.endAll()
 	})
 }
 
@@ -51,8 +51,8 @@
 	{MilliCPU: 8000, MemoryMiB: 8192},
 }
 
-// random makes one random event happen.
-func (w *world) random(t *rapid.T) {
+// randomEvent applies one random event.
+func (w *world) randomEvent(t *rapid.T) {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	id := worker(pick(len(sizes)))
 	switch kind := pick(16); {
@@ -81,7 +81,7 @@
 
 func (w *world) known(id ident.WorkerID) bool { _, ok := w.sizes[id]; return ok }
 
-// sizeOf keeps the size of a worker while the test knows it.
+// sizeOf returns the size of a known worker, and fresh for others.
 func (w *world) sizeOf(id ident.WorkerID, fresh resource.Vector) resource.Vector {
 	if size, ok := w.sizes[id]; ok {
 		return size
@@ -144,8 +144,8 @@
 	}
 }
 
-// conserves checks that nothing that waits could start now.
-func (w *world) conserves() {
+// checkWorkConserving checks that no waiting work could start now.
+func (w *world) checkWorkConserving() {
 	for _, t := range w.s.queue.Ordered() {
 		for class := range w.s.classes(t) {
 			j := class.Head().Owner
@@ -154,17 +154,18 @@
 				tasks = int64(j.spec.Tasks)
 			}
 			limit, limited := w.units.limit[j.spec.Team]
-			if limited && w.units.used[j.spec.Team]+tasks*j.units > limit || j.team.refused <= j.units && w.now < j.team.refusedTil {
+			if limited && w.units.used[j.spec.Team]+tasks*j.units > limit || j.team.refusedUnits <= j.units && w.now < j.team.refusedUntil {
 				continue
 			}
 			if w.openSlots(j.need, tasks) >= tasks {
-				w.t.Fatalf("job %s waits though %d tasks of %s fit", j.id, tasks, j.need)
+				w.t.Fatalf("job %s waits although %d tasks of %s fit", j.id, tasks, j.need)
 			}
 		}
 	}
 }
 
-// openSlots counts the tasks that fit on workers that take new work.
+// openSlots returns how many tasks fit on workers that accept new work, with at
+// most `most` counted per worker.
 func (w *world) openSlots(need resource.Vector, most int64) int64 {
 	slots := int64(0)
 	for id, free := range w.free {
@@ -176,8 +177,9 @@
 	return slots
 }
 
-// drain lets everything end and checks that nothing is left.
-func (w *world) drain() {
+// endAll ends all attempts until every job has ended, and checks that nothing
+// stays reserved.
+func (w *world) endAll() {
 	w.t.Helper()
 	w.step(ServiceRemoved{Service: "s"})
 	for _, id := range slices.Sorted(maps.Keys(w.sizes)) {
@@ -188,14 +190,14 @@
 	}
 	for round := 0; len(w.ended) < len(w.jobs) || len(w.running) > 0; round++ {
 		if round == 3000 {
-			w.t.Fatalf("%d of %d jobs ended, %d attempts run\n%s",
-				len(w.ended), len(w.jobs), len(w.running), w.whyLeft())
+			w.t.Fatalf("%d of %d jobs ended, %d attempts still run\n%s",
+				len(w.ended), len(w.jobs), len(w.running), w.explainUnended())
 		}
 		for len(w.running) > 0 {
 			stopped := w.controls[w.running[0].ID] != ""
 			w.end(0, AttemptEnded{Stopped: stopped, Ran: time.Second})
 		}
-		w.cancelHopeless(round)
+		w.cancelUnplaceable(round)
 		w.pass(time.Second)
 	}
 	for team, used := range w.units.used {
@@ -206,8 +208,9 @@
 	w.checkIdle()
 }
 
-// cancelHopeless cancels what can never fit the workers or the limit.
-func (w *world) cancelHopeless(round int) {
+// cancelUnplaceable cancels, in round 2000, the jobs that can never fit the
+// workers or the limit.
+func (w *world) cancelUnplaceable(round int) {
 	if round != 2000 {
 		return
 	}
@@ -228,19 +231,19 @@
 			w.t.Fatalf("worker %s: %s free of %s with %d tasks", id, worker.Free, size, worker.Tasks)
 		}
 	}
-	if w.s.Jobs() != 0 || w.s.Waiting() != 0 || len(w.s.holds) != 0 || len(w.s.making) != 0 {
-		w.t.Fatalf("left: %d jobs, %d waiting, %d holds, %d workers being emptied",
-			w.s.Jobs(), w.s.Waiting(), len(w.s.holds), len(w.s.making))
+	if w.s.Jobs() != 0 || w.s.Waiting() != 0 || len(w.s.holds) != 0 || len(w.s.displacements) != 0 {
+		w.t.Fatalf("after drain: %d jobs, %d waiting, %d holds, %d workers being emptied",
+			w.s.Jobs(), w.s.Waiting(), len(w.s.holds), len(w.s.displacements))
 	}
 	for id, t := range w.s.teams {
 		if !t.Used.IsZero() || t.unitsInUse != 0 {
-			w.t.Fatalf("team %s still counted with %s, %d units", id, t.Used, t.unitsInUse)
+			w.t.Fatalf("after drain: team %s still uses %s and %d units", id, t.Used, t.unitsInUse)
 		}
 	}
 }
 
-// whyLeft explains the jobs that have not ended.
-func (w *world) whyLeft() string {
+// explainUnended returns the explanations of the jobs that have not ended.
+func (w *world) explainUnended() string {
 	var words strings.Builder
 	for seq := uint64(1); seq <= w.seq; seq++ {
 		id := ident.JobID{Zone: "a", Host: "h", Incarnation: 1, Seq: seq}
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -7,18 +7,18 @@
 	"github.com/fireflyfold/fireflyfold/queue"
 )
 
-// A team whose work arrives when others have filled the zone gets its share
-// only as fast as their tasks end. Where these may be displaced, a few of them
-// at a time are checkpointed until the shares are near again, and their workers
-// are held for that team until they have ended.
+// A team whose work arrives when other teams fill the zone gets its fair share
+// only as fast as their tasks end. Tasks that may be displaced are therefore
+// checkpointed, a few at a time, until the shares are close to fair. Their
+// workers are held for the team until the tasks have ended.
 const (
-	rebalanceEvery = time.Second
-	rebalancePart  = 24   // one task a round for so many workers
-	shareSlack     = 0.01 // distance from the fair share, as part of the zone, that is left alone
+	rebalanceInterval = time.Second
+	workersPerVictim  = 24   // tasks displaced per round: one, and one more for each workersPerVictim workers
+	shareTolerance    = 0.01 // tolerated distance from the fair share, as a fraction of the zone
 )
 
-// rebalance displaces tasks of teams that are over their fair share, for a
-// team that is under its own.
+// rebalance displaces tasks of teams above their fair share for the team that is
+// furthest below its own. It runs at most once in rebalanceInterval.
 func (s *Scheduler) rebalance() {
 	if s.opts.KeepRunning || s.queue.Len() == 0 {
 		return
@@ -27,7 +27,7 @@
 		s.wake(&s.wakes.rebalance, s.rebalanceAt)
 		return
 	}
-	s.rebalanceAt = s.now + rebalanceEvery
+	s.rebalanceAt = s.now + rebalanceInterval
 	demands := s.demands()
 	under := s.mostUnder(demands)
 	if under == nil {
@@ -37,9 +37,9 @@
 	j := under.First(s.limitAllows).Head().Owner
 	over := func(a *attempt) bool {
 		d := &demands[a.team.number]
-		return d.Used-d.Fair > shareSlack
+		return d.Used-d.FairShare > shareTolerance
 	}
-	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/rebalancePart))
+	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/workersPerVictim))
 	if found == 0 {
 		return
 	}
@@ -49,8 +49,8 @@
 	s.holdDisplacing(workers, displacement{team: under})
 }
 
-// demands returns what each team uses and should have, by its number. Tasks
-// that are being stopped count no longer.
+// demands returns the used and the fair share of each team, by team number.
+// Tasks that are being stopped are not counted.
 func (s *Scheduler) demands() []queue.Demand {
 	demands := make([]queue.Demand, len(s.teamList))
 	for i, t := range s.teamList {
@@ -60,19 +60,19 @@
 			demands[i].Wants = math.Inf(1)
 		}
 	}
-	queue.Divide(demands)
+	queue.SetFairShares(demands)
 	return demands
 }
 
-// mostUnder returns the team that lacks most of its fair share and has work
-// waiting, or nil.
+// mostUnder returns the team with waiting work that is furthest below its fair
+// share, or nil if none is below it by more than shareTolerance.
 func (s *Scheduler) mostUnder(demands []queue.Demand) *team {
 	var most *team
-	lacks := shareSlack
+	deficit := shareTolerance
 	for i, t := range s.teamList {
 		d := &demands[i]
-		if d.Wants > d.Used && d.Fair-d.Used > lacks {
-			most, lacks = t, d.Fair-d.Used
+		if d.Wants > d.Used && d.FairShare-d.Used > deficit {
+			most, deficit = t, d.FairShare-d.Used
 		}
 	}
 	return most
--- a/sched/restore_test.go
+++ b/sched/restore_test.go
@@ -9,10 +9,10 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// A scheduler crashes while the last of several tasks runs. Its successor
-// restores the job, whose record names that task alone; the tasks before it
-// must all be waiting, each once, and the takeover must come to an end.
-func TestRestoreNamesALaterTaskOnly(t *testing.T) {
+// A scheduler crashes while the last of several tasks runs. The new scheduler
+// restores the job from a record that names only that task. The restore must
+// return, and each of the earlier tasks must be waiting exactly once.
+func TestRestoreOfALaterTaskKeepsEarlierTasksWaiting(t *testing.T) {
 	s := New(Options{})
 	const tasks = 4
 	job := ident.JobID{Zone: "a", Host: "h", Incarnation: 1, Seq: 1}
--- a/sched/timer.go
+++ b/sched/timer.go
@@ -7,44 +7,44 @@
 	"github.com/fireflyfold/fireflyfold/place"
 )
 
-// timeOf is a moment on the process's own clock.
-type timeOf = time.Duration
+// monotonicTime is a point in time on the process's own monotonic clock.
+type monotonicTime = time.Duration
 
 type timerKind uint8
 
 const (
 	timerDeadline timerKind = iota
 	timerBackoff
-	timerWorker // the end of a quarantine or of a refusal's back-off
+	timerWorker // end of a quarantine or of the backoff after a refused start
 	timerHold
 	timerService
-	timerControl // a control that has not been followed by an end
-	timerLimit   // the end of a refusal of limit units
-	timerWake    // nothing but a look at the waiting work
+	timerControl // repeat of a control to an attempt that has not ended
+	timerLimit   // end of a refusal of limit units
+	timerWake    // another scheduling decision
 )
 
-// timer is something that is due at a time. It is checked when it fires, so
-// that what it was set for may have gone meanwhile.
+// timer is an action at a point in time. The action checks its condition again
+// when it fires, because the job, hold or attempt may have ended by then.
 type timer struct {
-	at      timeOf
-	seq     uint64
-	kind    timerKind
-	index   int32
-	worker  place.Ref
-	life    uint32 // of the worker's position, against reuse
-	job     *job
-	hold    *hold
-	service *service
-	team    *team
-	attempt *attempt
+	at         monotonicTime
+	seq        uint64
+	kind       timerKind
+	index      int32
+	worker     place.Ref
+	generation uint32 // of the worker's place.Ref, which may have been reused
+	job        *job
+	hold       *hold
+	service    *service
+	team       *team
+	attempt    *attempt
 }
 
-// timers is a heap of timers. Those of ended jobs stay until they are half of
-// the heap, so that a wave of cancellations costs nothing here.
+// timers is a heap of timers. Timers of ended jobs are removed only when they
+// are more than half of the heap, which keeps mass cancellations cheap.
 type timers struct {
-	heap timerHeap
-	seq  uint64
-	dead int
+	heap        timerHeap
+	seq         uint64
+	ofEndedJobs int // timers of ended jobs
 }
 
 type timerHeap []timer
@@ -66,7 +66,7 @@
 	return t
 }
 
-func (s *Scheduler) after(t timer) {
+func (s *Scheduler) setTimer(t timer) {
 	s.timers.seq++
 	t.seq = s.timers.seq
 	if t.job != nil {
@@ -75,43 +75,44 @@
 	heap.Push(&s.timers.heap, t)
 }
 
-// wake sees to it that the waiting work is looked at again at a time, once for
-// each value of slot. It is for decisions that are taken at most so often, so
-// that none is put off until the next event.
-func (s *Scheduler) wake(slot *timeOf, at timeOf) {
+// wake sets a timer for another scheduling decision, unless the last one set for
+// the slot has the same time. Rate-limited decisions use it; without the timer a
+// deferred decision would wait for the next event.
+func (s *Scheduler) wake(slot *monotonicTime, at monotonicTime) {
 	if *slot == at {
 		return
 	}
 	*slot = at
-	s.after(timer{at: at, kind: timerWake})
+	s.setTimer(timer{at: at, kind: timerWake})
 }
 
-// forgetTimers drops the timers of ended jobs once they are half of all.
-func (s *Scheduler) forgetTimers(j *job) {
-	s.timers.dead += j.timers
+// pruneTimers counts the timers of an ended job, and removes the timers of all
+// ended jobs once they are more than half of the heap.
+func (s *Scheduler) pruneTimers(j *job) {
+	s.timers.ofEndedJobs += j.timers
 	h := s.timers.heap
-	if 2*s.timers.dead <= len(h) {
+	if 2*s.timers.ofEndedJobs <= len(h) {
 		return
 	}
 	kept := h[:0]
 	for _, t := range h {
-		if t.job == nil || !t.job.over {
+		if t.job == nil || !t.job.ended {
 			kept = append(kept, t)
 		}
 	}
 	clear(h[len(kept):])
 	s.timers.heap = kept
-	s.timers.dead = 0
+	s.timers.ofEndedJobs = 0
 	heap.Init(&s.timers.heap)
 }
 
-// expire acts on all timers that are due.
-func (s *Scheduler) expire() {
+// fireDueTimers fires all timers that are due.
+func (s *Scheduler) fireDueTimers() {
 	for len(s.timers.heap) > 0 && s.timers.heap[0].at <= s.now {
 		t := heap.Pop(&s.timers.heap).(timer)
 		if t.job != nil {
-			if t.job.over {
-				s.timers.dead--
+			if t.job.ended {
+				s.timers.ofEndedJobs--
 				continue
 			}
 			t.job.timers--
@@ -127,13 +128,13 @@
 	case timerBackoff:
 		s.backoffPassed(t.job, int(t.index))
 	case timerWorker:
-		s.workerReturns(t.worker, t.life)
+		s.unbarExpired(t.worker, t.generation)
 	case timerHold:
 		s.holdPassed(t.hold)
 	case timerControl:
 		s.repeatControl(t.attempt)
 	case timerLimit:
-		s.refusalPassed(t.team)
+		s.retryRefused(t.team)
 	case timerService, timerWake:
 		s.dirty = true
 	}
--- a/sched/worker.go
+++ b/sched/worker.go
@@ -7,26 +7,27 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// host is what the scheduler keeps of a worker beside its room.
-type host struct {
+// workerState is the state that the scheduler keeps for a worker, besides its
+// resources in place.Cell.
+type workerState struct {
 	attempts     []*attempt
 	displaceable resource.Vector // needs of the attempts that may be displaced
-	life         uint32          // counts the workers that had this position
+	generation   uint32          // number of earlier workers with this place.Ref
 
-	streak    int // failures of different jobs in a row
-	failedJob ident.JobID
-	sentences int    // quarantines without a success since
-	returns   timeOf // end of the quarantine
-	refusals  int    // refused starts without an accepted one since
-	accepts   timeOf // end of the back-off after a refusal
+	failureStreak int           // consecutive failures of different jobs
+	failedJob     ident.JobID   // job of the last counted failure
+	quarantines   int           // quarantines since the last success
+	quarantineEnd monotonicTime // end of the quarantine
+	refusals      int           // refused starts since the last attempt that succeeded or failed
+	backoffEnd    monotonicTime // end of the backoff after a refused start
 }
 
-func (s *Scheduler) host(ref place.Ref) *host { return &s.hosts[ref] }
+func (s *Scheduler) workerState(ref place.Ref) *workerState { return &s.workers[ref] }
 
 func (s *Scheduler) workerAdded(ev WorkerAdded) {
 	ref := s.cell.Add(ev.Worker, ev.Rack, ev.Size)
-	for len(s.hosts) < s.cell.Refs() {
-		s.hosts = append(s.hosts, host{})
+	for len(s.workers) < s.cell.Refs() {
+		s.workers = append(s.workers, workerState{})
 	}
 	s.cell.Unbar(ref, place.BarCordoned|place.BarLeaving)
 	s.queue.SetTotal(s.cell.Total())
@@ -46,15 +47,15 @@
 	s.dirty = true
 }
 
-// workerLeaving empties a worker in a planned change. Work that can be
-// checkpointed moves; the rest runs to its end.
+// workerLeaving drains a worker before its planned removal. Displaceable tasks
+// are checkpointed and start elsewhere; other tasks run to their end.
 func (s *Scheduler) workerLeaving(id ident.WorkerID) {
 	ref, ok := s.cell.Lookup(id)
 	if !ok {
 		return
 	}
 	s.cell.Bar(ref, place.BarLeaving)
-	for _, a := range s.host(ref).attempts {
+	for _, a := range s.workerState(ref).attempts {
 		if s.displaceable(a) {
 			s.stop(a, ports.ControlCheckpoint)
 		}
@@ -62,9 +63,8 @@
 	s.dirty = true
 }
 
-// workerRemoved ends what ran on a worker. The attempts are taken off one by
-// one while the worker takes nothing new, so that no attempt is tried again
-// on the worker that is going.
+// workerRemoved ends the attempts on a worker as lost and removes the worker.
+// The worker is cordoned first, so no task is retried on it meanwhile.
 func (s *Scheduler) workerRemoved(id ident.WorkerID) {
 	ref, ok := s.cell.Lookup(id)
 	if !ok {
@@ -72,17 +72,17 @@
 	}
 	s.cell.Bar(ref, place.BarCordoned)
 	s.endHoldsOn(ref)
-	h := s.host(ref)
+	h := s.workerState(ref)
 	for len(h.attempts) > 0 {
 		a := h.attempts[len(h.attempts)-1]
 		s.release(a)
 		s.conclude(a, ending{lost: true, reason: reasonLost})
 	}
-	if h.sentences > 0 {
-		s.sick--
+	if h.quarantines > 0 {
+		s.quarantined--
 	}
 	s.cell.Remove(ref)
-	s.hosts[ref] = host{life: h.life + 1}
+	s.workers[ref] = workerState{generation: h.generation + 1}
 	s.queue.SetTotal(s.cell.Total())
 	s.dirty = true
 }
