--- a/region/event.go
+++ b/region/event.go
@@ -74,7 +74,8 @@
 		NotSent bool // the call failed before it reached the service
 	}
 
-	// AdviceHostsChanged reports the new list of the hosts through which the advice service can be called.
+	// AdviceHostsChanged reports the new list of the hosts through which the advice
+	// service can be called.
 	AdviceHostsChanged struct{ Hosts []string }
 
 	// Tick advances time. UnixMs is the time of day. LoopLag is how late the driver
--- a/region/lease.go
+++ b/region/lease.go
@@ -58,8 +58,8 @@
 
 // leaseFor returns the length of the lease that a worker gets. An idle worker gets a short
 // one: a granted lease cannot be shortened and would apply to latency-sensitive work
-// placed there next. With the leader's link full, probes are too late to renew short leases, and runs
-// whose leases lapse must be started again.
+// placed there next. With the leader's link full, probes are too late to renew short
+// leases, and runs whose leases lapse must be started again.
 func (s *Scheduler) leaseFor(w *worker) time.Duration {
 	if w.counts.deferrable > 0 || s.linkLoad > fullLink {
 		return s.opts.Lease
@@ -80,8 +80,8 @@
 
 const (
 	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and
-	// latency-sensitive work would share a lease behind all other candidates. It is more than any worker
-	// has, so that best fit decides only among workers of one kind.
+	// latency-sensitive work would share a lease behind all other candidates. It is more
+	// than any worker has, so that best fit decides only among workers of one kind.
 	mixPenalty = 1e5
 	// alreadyMixedBonus ranks workers that both kinds share already before those with
 	// deferrable work alone. The deferrable work there ends and none is added, which
--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against urgent tasks that are stuck on unreachable workers until they are worthless.
-// Two workers are cut off by a network partition of a zone for 6 s, while urgent jobs arrive
+// Two workers are unreachable during a network partition of a zone for 6 s, while urgent jobs arrive
 // at a steady rate in a region full of slow ones. Urgent tasks of a second are needed within
 // three seconds and must run again elsewhere long before the partition ends; with leases as
 // long as the partition, all were too late.
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -57,9 +57,9 @@
 }
 
 // Guards against a leader's link that stays full because of probes, most of its calls:
-// starts and appends wait behind them, answers are late, leases of latency-sensitive work lapse, and
-// lapsed runs are started again. Probes slow down as the link fills, and leases become long
-// enough for late renewals.
+// starts and appends wait behind them, answers are late, leases of latency-sensitive work
+// lapse, and lapsed runs are started again. Probes slow down as the link fills, and leases
+// become long enough for late renewals.
 func TestProbesSlowDownAndLeasesLengthenOnFullLink(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := newBacklogScheduler(1, 0, 0)
--- a/region/place.go
+++ b/region/place.go
@@ -206,7 +206,7 @@
 )
 
 // score ranks workers that fit. It is best fit: the worker that is left with the least
-// free processors comes first, which keeps large holes for large tasks.
+// free processors comes first, which leaves more room for large tasks on other workers.
 func (s *Scheduler) score(st *step, w *worker) float64 {
 	score := -float64(w.free().MilliCPU - st.request.MilliCPU)
 	if st.rec.Affinity != "" && w.entry.HasLabel(st.rec.Affinity) {
