--- a/host/contact_test.go
+++ b/host/contact_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A host in a zone that is cut off reaches neither the log nor any other host. A caller
+// A host in a zone behind a network partition reaches neither the log nor any other host. A caller
 // that stays connected would be refused until the partition heals, and a submission
 // would wait until its deadline. The host must become unready, close its callers'
 // connections, and answer a submission at once with an unknown outcome or a refusal.
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -56,7 +56,7 @@
 	maxReadTimeout = 6 * time.Second
 	// maxReadKB and minReadKB bound the size of one read of the log while loading, in KiB, and
 	// readTransferTime is how long its response may occupy the link: six partitions are read
-	// concurrently, and the responses to probes and pings queue behind them.
+	// concurrently, and the responses to heartbeats and pings queue behind them.
 	maxReadKB        = 1024
 	minReadKB        = 16
 	readTransferTime = 30 * time.Millisecond
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -66,7 +66,7 @@
 }
 
 // With a log that was slow for all hosts, 0.5 s and more for an append, a leader counted as
-// cut off from the log. It handed over to a host for which the log was as slow, and callers
+// unable to reach the log. It handed over to a host for which the log was as slow, and callers
 // had no leader while that one loaded. Only the time beyond twice the latency of an append
 // counts as lost contact.
 func TestSlowLogDoesNotCountAsLostContact(t *testing.T) {
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a gang of two that waits forever in an empty region. The leader was
-// killed after the assignment was recorded and before the starts were sent. The next
+// stopped after the assignment was recorded and before the starts were sent. The next
 // leader finds that one member never started and stops the other before it has read the
 // worker's address from the host list: it must not send that stop to no address forever.
 func TestInheritedIncompleteGangIsRestarted(t *testing.T) {
