--- a/region/lease_test.go
+++ b/region/lease_test.go
@@ -23,8 +23,8 @@
 // urgentUseless is the time after which an urgentJob is worthless.
 const urgentUseless = 3 * (urgentRun*3/2 + 250*time.Millisecond)
 
-// slowJob returns a deferrable job with an objective of 14 s.
-func slowJob(id string, tasks int32) *record.Job {
+// deferrableJob returns a deferrable job with an objective of 14 s.
+func deferrableJob(id string, tasks int32) *record.Job {
 	j := oneStep(id, &record.Step{Count: tasks, EstimateMs: 2700, Request: &record.Resources{MilliCpu: 1000, MemoryMib: 100}})
 	j.Policy = &record.Policy{Service: "svc", Priority: 2, MaxAttempts: 3, Stretch: 4, TargetLatencyMs: 3000}
 	return j
@@ -50,7 +50,7 @@
 
 // Guards against urgent tasks that are stuck on unreachable workers until they are worthless.
 // Two workers are unreachable during a network partition of a zone for 6 s, while urgent jobs arrive
-// at a steady rate in a region full of slow ones. Urgent tasks of a second are needed within
+// at a steady rate in a region full of deferrable ones. Urgent tasks of a second are needed within
 // three seconds and must run again elsewhere long before the partition ends; with leases as
 // long as the partition, all were too late.
 func TestUrgentTasksRerunDuringPartition(t *testing.T) {
@@ -59,7 +59,7 @@
 	var at []time.Duration
 	for i := range 200 {
 		if i%20 == 0 {
-			w.submitTo(slowJob(fmt.Sprintf("s%d", i), 12), "slow")
+			w.submitTo(deferrableJob(fmt.Sprintf("s%d", i), 12), "slow")
 		}
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
 		at = append(at, w.now)
@@ -90,12 +90,12 @@
 	}
 }
 
-// Guards against restarting slow tasks, which would lose their progress, when their worker
+// Guards against restarting deferrable tasks, which would lose their progress, when their worker
 // is unreachable for 5 s. They must continue and be listed after the partition.
-func TestSlowTasksSurvivePartition(t *testing.T) {
+func TestDeferrableTasksSurvivePartition(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return 8 * time.Second }
-	w.submitTo(slowJob("s", 32), "slow")
+	w.submitTo(deferrableJob("s", 32), "slow")
 	w.run(time.Second)
 	w.workers["w0"].unreachable = true
 	w.run(5 * time.Second)
@@ -109,14 +109,14 @@
 	}
 }
 
-// Guards against slow tasks that fill all remaining room, so that urgent ones soon share
-// every worker with them and get their long leases. Slow tasks avoid workers with urgent
+// Guards against deferrable tasks that fill all remaining room, so that urgent ones soon share
+// every worker with them and get their long leases. Deferrable tasks avoid workers with urgent
 // ones while they have slack and there is other room, and use any room afterwards.
-func TestSlowTasksAvoidWorkersWithUrgentTasks(t *testing.T) {
+func TestDeferrableTasksAvoidWorkersWithUrgentTasks(t *testing.T) {
 	w := mixedWorld(t, 4)
 	for i := range 100 {
 		w.submitTo(urgentJob(fmt.Sprintf("u%d", i)), "urgent")
-		w.submitTo(slowJob(fmt.Sprintf("s%d", i), 1), "slow")
+		w.submitTo(deferrableJob(fmt.Sprintf("s%d", i), 1), "slow")
 		w.run(50 * time.Millisecond)
 		for name, fw := range w.sched.workers {
 			if n := fw.counts; n.latencySensitive > 0 && n.deferrable > 0 {
@@ -124,17 +124,17 @@
 			}
 		}
 	}
-	w.submitTo(slowJob("rest", 64), "slow")
+	w.submitTo(deferrableJob("rest", 64), "slow")
 	w.run(40 * time.Second)
 	w.mustComplete("rest")
 }
 
-// Guards against an urgent task on a worker whose lease is still a long one because a slow
+// Guards against an urgent task on a worker whose lease is still a long one because a deferrable
 // task there has just ended, while another idle worker has a short lease.
 func TestUrgentTasksAvoidLongLeases(t *testing.T) {
 	w := mixedWorld(t, 2)
 	w.runTime = func(model.TaskID) time.Duration { return time.Second }
-	w.submitTo(slowJob("s", 1), "slow")
+	w.submitTo(deferrableJob("s", 1), "slow")
 	w.run(1200 * time.Millisecond)
 	w.mustComplete("s")
 	var left string
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -84,7 +84,7 @@
 	w := mixedWorld(t, 2)
 	w.linkLoad = 1.2
 	w.run(100 * time.Millisecond)
-	w.submitTo(slowJob("s1", 2), "slow")
+	w.submitTo(deferrableJob("s1", 2), "slow")
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 0 {
 		t.Errorf("%d tasks are started over a full link, want 0", n)
--- a/region/pacer_test.go
+++ b/region/pacer_test.go
@@ -20,7 +20,7 @@
 	w.sched.opts.StartsPerS = perS
 	w.run(time.Second)
 	for i := range 40 {
-		w.submitTo(slowJob(fmt.Sprintf("s%d", i), 5), "slow")
+		w.submitTo(deferrableJob(fmt.Sprintf("s%d", i), 5), "slow")
 	}
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n > perS*6/10+5 {
--- a/region/speed_test.go
+++ b/region/speed_test.go
@@ -109,7 +109,7 @@
 	for i, log := range []float64{-0.22, 0, 0.22} {
 		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{logRatio: log, weight: maxSpeedWeight}
 	}
-	w.submitTo(slowJob("s1", 4), "slow")
+	w.submitTo(deferrableJob("s1", 4), "slow")
 	w.run(100 * time.Millisecond)
 	w.submitTo(urgentJob("u1"), "urgent")
 	w.run(100 * time.Millisecond)
@@ -126,7 +126,7 @@
 	for i := range 6 {
 		w.sched.workers[fmt.Sprintf("w%d", i)].speed = speed{logRatio: []float64{-0.22, 0.22}[i%2], weight: maxSpeedWeight}
 	}
-	job := slowJob("g1", 6)
+	job := deferrableJob("g1", 6)
 	job.Steps[0].Gang = true
 	job.Steps[0].Request.MilliCpu = 8000
 	w.submitTo(job, "slow")
