--- a/engine/attemptbook.go
+++ b/engine/attemptbook.go
@@ -8,14 +8,15 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// attemptBook holds the attempts of a zone by identifier and by worker. A
-// worker's report touches only the attempts on it, however many there are
-// elsewhere.
+// attemptBook indexes the attempts of a zone by identifier and by worker. The
+// cost of a worker's report depends only on the number of attempts on that
+// worker.
 type attemptBook struct {
 	byID     map[ident.AttemptID]*attempt
-	byWorker map[ident.WorkerID][]*attempt // in order of name
-	// starting holds every attempt whose start was sent and not answered, and
-	// perhaps some that were answered since the last look.
+	byWorker map[ident.WorkerID][]*attempt // sorted by name
+	// starting holds every attempt whose start was sent and not answered. It may
+	// also hold attempts answered since the last call of unanswered, which
+	// removes them.
 	starting map[*attempt]struct{}
 }
 
@@ -27,13 +28,14 @@
 	}
 }
 
-// get returns an attempt, or nil.
+// get returns the attempt with an identifier, or nil.
 func (b *attemptBook) get(id ident.AttemptID) *attempt { return b.byID[id] }
 
-// has reports whether this very attempt is booked, not another of its name.
+// has reports whether the book holds a itself, not just another attempt with
+// the same identifier.
 func (b *attemptBook) has(a *attempt) bool { return b.byID[a.ID] == a }
 
-// add books an attempt in the place of an earlier one of its name.
+// add adds an attempt. It replaces an earlier one with the same identifier.
 func (b *attemptBook) add(a *attempt) {
 	if old := b.byID[a.ID]; old != nil {
 		b.drop(old)
@@ -45,7 +47,7 @@
 	b.byWorker[a.Worker] = slices.Insert(list, at, a)
 }
 
-// drop forgets an attempt.
+// drop removes an attempt, if the book holds it.
 func (b *attemptBook) drop(a *attempt) {
 	if !b.has(a) {
 		return
@@ -63,21 +65,21 @@
 	b.byWorker[a.Worker] = list
 }
 
-// on lists the attempts on a worker in order of name. The list is the caller's.
+// on returns a copy of the list of attempts on a worker, sorted by name.
 func (b *attemptBook) on(worker ident.WorkerID) []*attempt {
 	return slices.Clone(b.byWorker[worker])
 }
 
-// startsOn reports whether a start is on its way to a worker.
+// startsOn reports whether a start on a worker is in flight.
 func (b *attemptBook) startsOn(worker ident.WorkerID) bool {
 	return slices.ContainsFunc(b.byWorker[worker], func(a *attempt) bool { return a.phase == phaseStarting })
 }
 
-// startSent notes that a start of the attempt was sent.
+// startSent records that a start of the attempt was sent.
 func (b *attemptBook) startSent(a *attempt) { b.starting[a] = struct{}{} }
 
-// unanswered lists the attempts whose start was sent and not answered, in order
-// of name.
+// unanswered returns the attempts whose start was sent and not answered, sorted
+// by name.
 func (b *attemptBook) unanswered() []*attempt {
 	maps.DeleteFunc(b.starting, func(a *attempt, _ struct{}) bool { return a.phase != phaseStarting })
 	return slices.SortedFunc(maps.Keys(b.starting), compareAttempts)
--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -15,46 +15,46 @@
 	"github.com/fireflyfold/fireflyfold/sched"
 )
 
-// phase says how far an attempt is.
+// phase is the state of an attempt on this host.
 type phase uint8
 
 const (
-	phaseAssigning phase = iota + 1 // its record is not read back yet
+	phaseAssigning phase = iota + 1 // its Assigned record has not been read back yet
 	phaseStarting                   // the start was sent and not answered
 	phaseRunning
-	phaseEnding // its end is known and its record not read back yet
+	phaseEnding // its end is known, but the Ended record has not been read back yet
 )
 
 const (
-	startRetry = 400 * time.Millisecond // before an unanswered start is sent again
-	// maxUnsent is how many starts in a row may fail before anything was sent
-	// until the attempt is given back as never started.
+	startRetry = 400 * time.Millisecond // time after which an unanswered start is sent again
+	// maxUnsent is the number of consecutive starts that fail before anything
+	// was sent after which the attempt is closed as never started.
 	maxUnsent = 3
 )
 
-// attempt is one attempt that this host assigned or adopted.
+// attempt is an attempt that this host assigned or adopted.
 type attempt struct {
 	sched.Assign
 	name      string // of the task on its worker
 	phase     phase
-	lease     ports.Epoch // under which it was or is to be started
-	boot      uint64      // of the worker then
-	maybeSent bool        // a start was sent and not answered
-	unsent    int         // starts in a row that were not sent
+	lease     ports.Epoch // epoch of the compute lease that it is started under
+	boot      uint64      // the worker's boot number when it was assigned
+	maybeSent bool        // a start got no answer and may have reached the worker
+	unsent    int         // consecutive starts that failed before anything was sent
 	retryAt   time.Duration
 	startedAt time.Duration // when the start was known to have taken effect
 	stop      stopOrder
-	// borrowed means that the units it uses are still held by the dead holder
+	// borrowed means that the units it uses still belong to the earlier holder
 	// that started it.
 	borrowed bool
-	by       ident.Holder
+	by       ident.Holder // the holder that started it, or the one that took over that holder's units
 }
 
-// servicePrefix marks the task identifiers of service replicas on workers,
-// which need no record in the log.
+// servicePrefix begins the task names of service replicas on workers. Replicas
+// have no record in the log.
 const servicePrefix = "service:"
 
-// taskName is how an attempt is named on its worker.
+// taskName returns the name of an attempt's task on its worker.
 func taskName(service ident.ServiceID, id ident.AttemptID) string {
 	if service == "" {
 		return id.String()
@@ -62,7 +62,8 @@
 	return servicePrefix + string(service) + ":" + id.String()
 }
 
-// parseTaskName reads what taskName wrote.
+// parseTaskName parses a name that taskName returned. The last result is false
+// if text is no such name.
 func parseTaskName(text string) (ident.ServiceID, ident.AttemptID, bool) {
 	var service string
 	if rest, ok := strings.CutPrefix(text, servicePrefix); ok {
@@ -75,7 +76,8 @@
 	return ident.ServiceID(service), id, err == nil
 }
 
-// serviceSeq numbers a service by its name and the scheduler's life.
+// serviceSeq returns a job number for a service: a hash of its name and the
+// number of the scheduler within the host's incarnation.
 func serviceSeq(id ident.ServiceID, life uint64) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(id)) // a hash never fails
@@ -83,8 +85,8 @@
 	return sum.Sum64()
 }
 
-// assign begins an attempt. A replica is started at once; a job's attempt
-// after its record has been read back.
+// assign handles an assignment by the scheduler. A replica is started at once,
+// a job's attempt when its record has been read back.
 func (e *Engine) assign(cmd sched.Assign) {
 	key := lease.Key{Worker: cmd.Worker, Class: ports.ClassCompute}
 	epoch, held := e.leases.Epoch(key, e.now)
@@ -107,9 +109,9 @@
 	}}, 0)
 }
 
-// start sends the start under the epoch that the record names. With another
-// epoch the worker may have been another host's meanwhile, and a recovery that
-// trusted the record would look for the attempt under the wrong lease.
+// start sends the start under the lease epoch in the attempt's record. If the
+// epoch has changed, another host may have held the worker in between, and a
+// recovery that relies on the record would search under the wrong lease.
 func (e *Engine) start(a *attempt) {
 	if a.phase == phaseAssigning && a.stop.control != "" {
 		e.endNever(a, "")
@@ -119,7 +121,7 @@
 	entry, listed := e.members.Worker(a.Worker)
 	if !held || !listed || epoch != a.lease {
 		if a.maybeSent {
-			return // the next report of the worker decides
+			return // the worker's next report shows whether it runs
 		}
 		e.endNever(a, "")
 		return
@@ -145,9 +147,9 @@
 	})
 }
 
-// startAnswered settles a start. A start that got no answer is sent again
-// under the same name and epoch: the worker takes a name once, so a duplicate
-// refusal means that an earlier one arrived.
+// startAnswered handles the answer to a start. A start without an answer is
+// sent again with the same name and epoch: the worker accepts a name only once,
+// so a refusal as duplicate means that an earlier start arrived.
 func (e *Engine) startAnswered(ev StartAnswered) {
 	if e.zone == nil {
 		return
@@ -184,13 +186,14 @@
 	e.expectEnd(a, 0)
 }
 
-// startRefused takes a worker's refusal.
+// startRefused handles a worker's refusal of a start.
 //
-// It guards against a start that arrives after its attempt was given back: one
-// start got no answer and is still on its way, a second one is refused, and the
-// first then finds room. A refusal therefore settles an attempt only if no
-// earlier start is unanswered; otherwise the lease is taken anew, since the
-// worker refuses the old epoch from then on and its grant tells what it has.
+// It prevents a start from taking effect after its attempt was closed as never
+// started: one start got no answer and is still in flight, a second one is
+// refused, and the worker then has capacity for the first. A refusal therefore
+// closes an attempt only if no earlier start is unanswered. Otherwise the lease
+// is acquired again: the worker then refuses the old epoch, and the grant lists
+// the tasks that it has.
 func (e *Engine) startRefused(a *attempt, refusal ports.Refusal) {
 	if refusal == ports.RefusedEpoch || refusal == ports.RefusedLapsed {
 		key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
@@ -203,7 +206,8 @@
 	e.endNever(a, refusal)
 }
 
-// endNever closes an attempt that truly did not run.
+// endNever closes an attempt that certainly never ran. refusal is the worker's
+// reason, empty for none.
 func (e *Engine) endNever(a *attempt, refusal ports.Refusal) {
 	if a.Service != "" {
 		e.zone.attempts.drop(a)
@@ -221,8 +225,9 @@
 	return jobs.Record{Ended: &jobs.Ended{Attempt: id, Result: result, Reason: reason}}
 }
 
-// endReported closes an attempt that its worker reports as ended. The worker
-// keeps the report until the record of it is in the log.
+// endReported closes an attempt that its worker reports as ended. The report is
+// acknowledged only when the record is in the log; until then the worker keeps
+// it.
 func (e *Engine) endReported(a *attempt, t ports.TaskReport) {
 	if a.phase == phaseEnding {
 		return
@@ -237,7 +242,8 @@
 	e.propose(&ending{a: a, then: ended, ack: t.ID}, endedRecord(a.ID, resultOfReport(t), t.Reason), 0)
 }
 
-// endLost closes an attempt that may have run and cannot be running any more.
+// endLost closes an attempt that may have run and can no longer be running. Its
+// outcome is unknown.
 func (e *Engine) endLost(a *attempt, reason string) {
 	if a.phase == phaseEnding {
 		return
@@ -261,8 +267,9 @@
 	return jobs.ResultSucceeded
 }
 
-// closeAttempt tells the scheduler of the end and returns borrowed units to
-// nobody: the dead holder's units come with the reclaim.
+// closeAttempt removes an attempt and reports its end to the scheduler. The
+// units of a borrowed attempt are not returned to this host's account: they
+// belong to the earlier holder and come with the reclaim of its units.
 func (e *Engine) closeAttempt(a *attempt, ev sched.Event) {
 	e.zone.attempts.drop(a)
 	if a.borrowed {
@@ -304,7 +311,7 @@
 	}})
 }
 
-// retryStarts sends starts again that got no answer.
+// retryStarts sends unanswered starts again when their retry is due.
 func (e *Engine) retryStarts() {
 	for _, a := range e.zone.attempts.unanswered() {
 		if e.zone.attempts.has(a) && a.phase == phaseStarting && e.now >= a.retryAt {
