--- a/engine/claims.go
+++ b/engine/claims.go
@@ -11,15 +11,15 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// claimMargin is how long before a request's deadline its claim must be in the
-// log, so that there is time left to run it.
+// claimMargin is the time before a request's deadline by which its claim must
+// be in the log. It leaves time to run the request.
 const claimMargin = 200 * time.Millisecond
 
-// keyHashBytes is the length of a key's hash in records.
+// keyHashBytes is the length of a key's hash in records, in bytes.
 const keyHashBytes = 16
 
-// keyHash names a team's idempotency key in the log, which never holds the key
-// itself. An empty key has no hash.
+// keyHash returns the hash that stands for a team's idempotency key in the log,
+// which never holds the key itself. It returns "" for an empty key.
 func keyHash(team ident.TeamID, key string) jobs.KeyHash {
 	if key == "" {
 		return ""
@@ -28,23 +28,23 @@
 	return jobs.KeyHash(base64.RawURLEncoding.EncodeToString(sum[:keyHashBytes]))
 }
 
-// claimBook knows the requests that run under a claim of this host.
+// claimBook holds the requests that run under a claim of this host.
 type claimBook struct {
 	running map[ident.TaskID]bool
 }
 
 func newClaimBook() claimBook { return claimBook{running: map[ident.TaskID]bool{}} }
 
-// requestClaim is a caller's idempotency key on its way into the log, before
-// its request may run.
+// requestClaim is the proposal to record a caller's idempotency key in the log.
+// The request may run only when the record is there.
 type requestClaim struct {
 	ev        RequestAdmitted
-	abandoned bool // the caller was told "not run"
+	abandoned bool // the caller has its answer; the request must not run
 }
 
-// claim puts the key of a request into the zone's stream. The request runs
-// only when the record has been read back: a repeat of the key, on any host
-// and after any takeover, then finds it.
+// claim proposes a record of the request's key to the zone's stream. The
+// request runs only when the record has been read back: from then on a repeat
+// of the key finds it, on any host and after any takeover.
 func (e *Engine) claim(ev RequestAdmitted) {
 	p := &requestClaim{ev: ev}
 	if !e.Schedules() || e.draining {
@@ -75,8 +75,8 @@
 	})
 }
 
-// effective runs the request, or gives the key up again if its caller has been
-// told meanwhile that it did not run.
+// effective runs the request. If the record came too late or the caller has
+// been answered, it records the outcome "not run" instead.
 func (p *requestClaim) effective(e *Engine, late bool) {
 	id := p.ev.Request.ID
 	e.claims.running[id] = true
@@ -102,11 +102,11 @@
 	p.reject(e)
 }
 
-// undecided refuses the request for good. Its record may still appear; since
-// the request is never started after this, "not run" stays true.
+// undecided rejects the request as not run. Its record may still appear, but
+// the request is never started after this, so the answer remains correct.
 func (p *requestClaim) undecided(e *Engine) { p.reject(e) }
 
-// existing answers a repeat of the key with what became of its first use.
+// existing answers a repeat of the key with the state of its first use.
 func (p *requestClaim) existing(e *Engine, job ident.JobID) {
 	if p.abandoned {
 		return
@@ -123,8 +123,8 @@
 // claimAnswered records that a claimed request ran.
 func (e *Engine) claimAnswered(id ident.TaskID) { e.claimEnded(id, work.OutcomeRan) }
 
-// claimEnded records the outcome of a claimed request. If the record is lost
-// with this host, its successor records the outcome as unknown.
+// claimEnded records the outcome of a claimed request. If this host fails before
+// the record is in the log, the next owner records the outcome as unknown.
 func (e *Engine) claimEnded(id ident.TaskID, outcome work.Outcome) {
 	if !e.claims.running[id] {
 		return
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -8,27 +8,28 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// JobRefusal says why a call about a job was refused.
+// JobRefusal is the reason for which a call about a job was refused.
 type JobRefusal string
 
 // The refusals of job calls.
 const (
-	RefusedNoFit    JobRefusal = "no-fit"    // no worker of the zone could ever run it
-	RefusedBusy     JobRefusal = "busy"      // too much waits already
-	RefusedLog      JobRefusal = "log"       // the log did not take the record in time
+	RefusedNoFit    JobRefusal = "no-fit"    // no worker of the zone can run it, or its record is too large
+	RefusedBusy     JobRefusal = "busy"      // the backlog is too large
+	RefusedLog      JobRefusal = "log"       // the log did not append the record in time
 	RefusedNotHere  JobRefusal = "not-here"  // this host does not schedule the zone
 	RefusedNotFound JobRefusal = "not-found" // no such job of this team
-	RefusedUnknown  JobRefusal = "unknown"   // the record may be in the log
+	RefusedUnknown  JobRefusal = "unknown"   // the log did not answer in time; it may have the record
 )
 
-// JobRefusedError refuses a call about a job.
+// JobRefusedError reports that a call about a job was refused.
 type JobRefusedError struct {
 	Refusal    JobRefusal
 	Detail     string
-	RetryAfter time.Duration // zero if waiting does not help
+	RetryAfter time.Duration // zero if a retry does not help
 }
 
-// Outcome returns what the caller may conclude of its work.
+// Outcome returns the outcome of the refused call: unknown if its record may be
+// in the log, otherwise not run.
 func (e *JobRefusedError) Outcome() work.Outcome {
 	if e.Refusal == RefusedUnknown {
 		return work.OutcomeUnknown
@@ -41,12 +42,13 @@
 	return fmt.Sprintf("job refused: %s: %s", e.Refusal, e.Detail)
 }
 
-// ClaimError ends a submission or request because of its idempotency key.
+// ClaimError reports that a submission or request was refused because its
+// idempotency key was used before.
 type ClaimError struct {
-	Job      ident.JobID // that has the key
-	Conflict bool        // the key was used for other work
-	Outcome  work.Outcome
-	Running  bool // the first use still runs
+	Job      ident.JobID  // the first use of the key
+	Conflict bool         // the key was used for other work
+	Outcome  work.Outcome // of the first use, unknown until it ends; not run on a conflict
+	Running  bool         // the first use has not ended yet
 }
 
 // Error implements error.
