--- a/engine/command.go
+++ b/engine/command.go
@@ -15,11 +15,11 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Command is an output of the engine.
+// Command is an output of the engine, to be executed by its driver.
 type Command interface{ isCommand() }
 
-// SendLease asks a worker for a control lease, or renews it. The answer is a
-// LeaseAnswered with the same Key and SentAt.
+// SendLease acquires a control lease from a worker, or renews it. The answer is
+// a LeaseAnswered with the same Key and SentAt.
 type SendLease struct {
 	Key     lease.Key
 	Addr    string
@@ -27,7 +27,7 @@
 	Request ports.LeaseRequest
 }
 
-// SendRelease gives a control lease back. The answer is a ReleaseAnswered.
+// SendRelease releases a control lease. The answer is a ReleaseAnswered.
 type SendRelease struct {
 	Key   lease.Key
 	Addr  string
@@ -51,34 +51,38 @@
 	Try  int
 }
 
-// RequestDone ends a request. Cause is nil if its whole answer came.
+// RequestDone ends a request. Cause and Claim are nil if its answer arrived
+// completely.
 type RequestDone struct {
 	ID    ident.TaskID
 	Cause *request.RejectedError
-	// Claim is set if the caller's idempotency key decided the end.
+	// Claim is set if the request did not run because of the caller's
+	// idempotency key.
 	Claim *ClaimError
 }
 
-// SendDigest tells a peer of this host. Its answer is the peer's digest.
+// SendDigest sends this host's digest to a peer. The answer is a
+// DigestReceived with the peer's digest, or a PeerFailed.
 type SendDigest struct {
 	Host   ident.HostID
 	Addr   string
 	Digest member.Digest
 }
 
-// AppendGroup adds a group of records to a stream. The answer is an Appended.
+// AppendGroup appends a group of records to a stream. The answer is an
+// Appended.
 type AppendGroup struct {
 	stream.Append
 }
 
-// ReadStream asks the log for the records after an offset. The answer is a
-// StreamRead or a StreamFailed. At most one is open for each stream.
+// ReadStream reads the records after an offset from the log. The answer is a
+// StreamRead or a StreamFailed. At most one read is in flight for each stream.
 type ReadStream struct {
 	stream.Read
 }
 
-// ReadPeer asks a peer for the configuration after an offset. The answer is a
-// PeerConfig.
+// ReadPeer reads the configuration after an offset from a peer, at most Limit
+// records. The answer is a PeerConfig.
 type ReadPeer struct {
 	Host  ident.HostID
 	Addr  string
@@ -86,7 +90,8 @@
 	Limit int
 }
 
-// ViewChanged publishes what the edges need to know of the other hosts.
+// ViewChanged publishes a new view of the other hosts to the driver's request
+// handlers.
 type ViewChanged struct {
 	View *View
 }
@@ -99,22 +104,23 @@
 	Request ports.StartRequest
 }
 
-// ControlTask controls a running attempt. Nothing answers it: the worker's
-// next report shows its effect.
+// ControlTask controls a running attempt. It has no answer: the worker's next
+// report shows its effect.
 type ControlTask struct {
 	Worker  ident.WorkerID
 	Addr    string
 	Request ports.ControlRequest
 }
 
-// JobAnswered ends a call of a caller about a job.
+// JobAnswered answers a caller's JobSubmitted, JobQueried or
+// JobCancelRequested.
 type JobAnswered struct {
-	Call uint64
+	Call uint64 // of the event that it answers
 	Info JobInfo
 	Err  error // nil, or one of the errors of this package
 }
 
-// JobInfo is how a durable job stands.
+// JobInfo describes the state of a durable job.
 type JobInfo struct {
 	Job     ident.JobID
 	Spec    work.Spec
@@ -125,18 +131,18 @@
 	Explain *sched.Explanation
 }
 
-// JobState says where a job stands.
+// JobState is the state of a durable job.
 type JobState string
 
 // The states of a job.
 const (
 	JobStateWaiting   JobState = "waiting"
 	JobStateRunning   JobState = "running"
-	JobStateCancelled JobState = "cancelled" // no further attempt; something may still run
+	JobStateCancelled JobState = "cancelled" // no further attempt starts; one may still run
 	JobStateEnded     JobState = "ended"
 )
 
-// JobDone tells that a job reached its end, for callers that wait.
+// JobDone reports that a job ended, for callers that wait for it.
 type JobDone struct {
 	Job     ident.JobID
 	Outcome work.Outcome
@@ -144,29 +150,30 @@
 	Reason  string
 }
 
-// AskUnits asks a peer for units of a team's limit.
+// AskUnits requests units of a team's limit from a peer.
 type AskUnits struct {
 	Peer  ident.Holder
 	Addr  string
 	Team  ident.TeamID
 	Units int64
-	Lack  int64 // how short this host is altogether
+	Lack  int64 // total number of units that this host lacks
 	Seq   uint64
 }
 
-// AskPromise asks a peer not to hold the compute lease of a worker, or frees it
-// from that promise. The answer is a PromiseAnswered, except to a release.
+// AskPromise requests a peer's promise not to hold the compute lease of a
+// worker, or releases the peer from it. The answer is a PromiseAnswered; a
+// release has none.
 type AskPromise struct {
 	Host    ident.HostID
 	Addr    string
 	Worker  ident.WorkerID
-	Seq     uint64 // to be returned with the answer
+	Seq     uint64 // returned in the answer
 	From    ident.Holder
-	Order   uint64 // rises with every question of this host
+	Order   uint64 // increases with every AskPromise of this host
 	Release bool
 }
 
-// PromiseReply answers a PromiseAsked.
+// PromiseReply answers the PromiseAsked with the same Call.
 type PromiseReply struct {
 	Call  uint64
 	From  ident.Holder
@@ -177,46 +184,48 @@
 type AskLeases struct {
 	Host   ident.HostID
 	Addr   string
-	SentAt time.Duration // to be returned with the answer
+	SentAt time.Duration // returned in the answer
 }
 
-// LeasesReply answers a LeasesAsked.
+// LeasesReply answers the LeasesAsked with the same Call.
 type LeasesReply struct {
 	Call   uint64
 	Leases []ledger.LeaseSeen
 }
 
-// AskAttempts asks the zone's scheduler about attempts that this host started.
-// The answer is an AttemptsAnswered.
+// AskAttempts asks the zone's present scheduler for the states of attempts that
+// this host started as an earlier scheduler. The answer is an AttemptsAnswered.
 type AskAttempts struct {
 	Host     ident.HostID
 	Addr     string
 	Attempts []AskedAttempt
 }
 
-// AttemptsReply answers an AttemptsAsked, in its order.
+// AttemptsReply answers the AttemptsAsked with the same Call. States has one
+// entry for each of its Attempts, in the same order.
 type AttemptsReply struct {
 	Call   uint64
 	From   ident.Holder
 	States []AttemptState
 }
 
-// ConfigReply answers a ConfigAsked with the records that follow, or with the
-// whole configuration, or with neither if there is none.
+// ConfigReply answers the ConfigAsked with the same Call. It has the records
+// after the offset, or the whole configuration, or neither if this host has no
+// configuration.
 type ConfigReply struct {
 	Call  uint64
 	Page  *ports.Page
 	State *fleet.State
-	Age   time.Duration
+	Age   time.Duration // time since this host's configuration was known to be the newest
 }
 
-// ConfigFolded tells what became of a record of the configuration, for
-// operators that wait for it.
+// ConfigFolded reports whether a record of the configuration was applied or
+// rejected, for operators that wait for it.
 type ConfigFolded struct {
 	Result fleet.Result
 }
 
-// Drained tells that the planned stop is complete.
+// Drained reports that the planned stop of this host is complete.
 type Drained struct{}
 
 // ConfigChanged publishes a newer configuration.
@@ -224,13 +233,13 @@
 	State *fleet.State
 }
 
-// Noted is a change of state worth telling an operator.
+// Noted reports a change of state to operators.
 type Noted struct {
 	Kind   NoteKind
 	Detail string
 }
 
-// NoteKind classifies what the system did by itself.
+// NoteKind classifies a Noted.
 type NoteKind string
 
 // The kinds of notes.
@@ -244,8 +253,8 @@
 	NoteDrain        NoteKind = "drain"
 )
 
-// Reincarnate tells the driver to stop, and to start anew under another
-// incarnation: the units this life held were given to others.
+// Reincarnate makes the driver stop the engine and start a new one with the next
+// incarnation, because other hosts have taken over this incarnation's units.
 type Reincarnate struct {
 	Reason string
 }
--- a/engine/event.go
+++ b/engine/event.go
@@ -14,35 +14,37 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Event is an input of the engine.
+// Event is an input of the engine: the passage of time, an answer to a Command,
+// or a call of a caller, an operator or a peer.
 type Event interface{ isEvent() }
 
-// Tick lets time pass.
+// Tick makes the engine advance its timers.
 type Tick struct {
-	// Wall is the wall clock, in UTC. It is written into records for people
-	// and decides when a snapshot is due, nothing else.
+	// Wall is the wall clock, in UTC. It is written into records for people to
+	// read and decides when a snapshot is due. A restored job's age, which orders
+	// the queue, is computed from it as well.
 	Wall time.Time
 }
 
-// Listed is an answer of the host list.
+// Listed is a successful read of the host list.
 type Listed struct {
 	Listing ports.Listing
 }
 
-// ListFailed reports that the host list did not answer.
+// ListFailed reports that a read of the host list failed.
 type ListFailed struct{}
 
-// DigestReceived is what a peer told of itself.
+// DigestReceived is a peer's digest.
 type DigestReceived struct {
 	Digest member.Digest
 }
 
-// PeerFailed reports that a peer did not answer.
+// PeerFailed reports that a call to a peer failed.
 type PeerFailed struct {
 	Host ident.HostID
 }
 
-// LeaseAnswered is the answer to a SendLease. Err is nil, or as the errors of
+// LeaseAnswered is the answer to a SendLease. Err is nil or an error of
 // ports.Workers.
 type LeaseAnswered struct {
 	Key    lease.Key
@@ -59,25 +61,25 @@
 	Err   error
 }
 
-// RequestAdmitted hands in an authenticated request.
+// RequestAdmitted passes in an authenticated request.
 type RequestAdmitted struct {
 	Request request.Admitted
 	// Key is the caller's idempotency key if the request is to be claimed in
 	// the log before it runs; empty otherwise.
 	Key         string
-	Fingerprint string // digest of the request, to tell a repeat from other work under one key
+	Fingerprint string // digest of the request; tells a repeat from other work with the same key
 }
 
 // RequestFinished reports how a CallWorker or ForwardCall ended.
 type RequestFinished struct {
 	Finished request.Finished
-	// Refusal is the worker's refusal, if that is what ended the call.
+	// Refusal is the worker's refusal if the worker refused the call.
 	Refusal ports.Refusal
 	Worker  ident.WorkerID
 	Epoch   ports.Epoch
 }
 
-// RequestCancelled withdraws a request whose caller went away.
+// RequestCancelled reports that the caller of a request has disconnected.
 type RequestCancelled struct {
 	ID ident.TaskID
 }
@@ -89,26 +91,25 @@
 	Page   ports.Page
 }
 
-// StreamFailed reports that the ReadStream of the same stream and tag brought
-// nothing.
+// StreamFailed reports that the ReadStream of the same stream and tag failed.
 type StreamFailed struct {
 	Stream ports.Stream
 	Tag    stream.Tag
 }
 
-// PeerConfig answers a ReadPeer. At most one of Page and State is set; none is
-// if the peer did not answer.
+// PeerConfig answers a ReadPeer. At most one of Page and State is set. Neither
+// is set if the peer did not answer or has no configuration.
 type PeerConfig struct {
 	Host  ident.HostID
 	Page  *ports.Page
 	State *fleet.State // the whole configuration
-	// Age is how long ago the peer knew its configuration to be the newest, as
-	// of now.
+	// Age is the time since the peer's configuration was known to be the newest,
+	// at the time of this event.
 	Age time.Duration
 }
 
-// Appended answers the AppendGroup of the same stream and tag. Err is nil, or
-// as the errors of ports.Log.
+// Appended answers the AppendGroup of the same stream and tag. Err is nil or an
+// error of ports.Log.
 type Appended struct {
 	Stream ports.Stream
 	Tag    stream.Tag
@@ -123,25 +124,28 @@
 	Err    error
 }
 
-// JobSubmitted hands in a durable job. The specification is checked.
+// JobSubmitted passes in a durable job. Its specification must have been
+// validated. The answer is a JobAnswered.
 type JobSubmitted struct {
-	Call        uint64 // names the answer
+	Call        uint64 // returned in the answer
 	ID          ident.JobID
 	Key         string // the caller's idempotency key; empty for none
 	Fingerprint string
 	Spec        work.Spec
-	Deadline    time.Duration // of the answer
+	Deadline    time.Duration // for the answer
 }
 
-// JobQueried asks how a durable job of a team stands.
+// JobQueried asks for the state of a durable job of a team. An empty Team is an
+// operator's query and matches every team. The answer is a JobAnswered.
 type JobQueried struct {
 	Call    uint64
 	Job     ident.JobID
 	Team    ident.TeamID
-	Explain bool // also say why it waits or where it was placed
+	Explain bool // also return why it waits or where it was placed
 }
 
-// JobCancelRequested withdraws a durable job of a team.
+// JobCancelRequested cancels a durable job of a team. The answer is a
+// JobAnswered.
 type JobCancelRequested struct {
 	Call     uint64
 	Job      ident.JobID
@@ -149,21 +153,21 @@
 	Deadline time.Duration
 }
 
-// UnitsAsked is a peer's wish for units of a team's limit.
+// UnitsAsked is a peer's request for units of a team's limit.
 type UnitsAsked struct {
 	From  ident.Holder
 	Team  ident.TeamID
 	Units int64
-	Lack  int64  // how short the peer is altogether
-	Seq   uint64 // rises with every wish of this peer
+	Lack  int64  // total number of units that the peer lacks
+	Seq   uint64 // increases with every such request of the peer
 }
 
-// PromiseAsked asks this host not to hold the compute lease of a worker, or
-// frees it from that promise. The answer is a PromiseReply.
+// PromiseAsked requests this host's promise not to hold the compute lease of a
+// worker, or releases it from that promise. The answer is a PromiseReply.
 type PromiseAsked struct {
 	Call    uint64
 	From    ident.Holder
-	Order   uint64 // rises with every question of From
+	Order   uint64 // increases with every PromiseAsked of From
 	Worker  ident.WorkerID
 	Release bool
 }
@@ -195,15 +199,16 @@
 	After ports.Offset
 }
 
-// AttemptsAsked is the question of an earlier scheduler of the zone about
-// attempts that it started. The answer is an AttemptsReply.
+// AttemptsAsked is an earlier scheduler's request for the states of attempts
+// that it started in this zone. The answer is an AttemptsReply.
 type AttemptsAsked struct {
 	Call     uint64
 	From     ident.Holder
 	Attempts []AskedAttempt
 }
 
-// AttemptsAnswered answers an AskAttempts, in its order.
+// AttemptsAnswered answers an AskAttempts. States has one entry for each of
+// Attempts, in the same order.
 type AttemptsAnswered struct {
 	From     ident.Holder
 	Attempts []AskedAttempt
--- a/engine/facts.go
+++ b/engine/facts.go
@@ -10,49 +10,50 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// Facts is a picture of the engine for operators. It is immutable.
+// Facts is a snapshot of the engine's state for operators. It is immutable.
 type Facts struct {
 	ConfigAge    time.Duration
 	LogReachable bool
 	Draining     bool
-	Scheduler    bool // owns the zone's job stream
-	Epoch        uint64
+	Scheduler    bool   // owns the zone's job stream
+	Epoch        uint64 // of that ownership; zero if this host is not the scheduler
 	WaitingReqs  int
 	InFlight     int64
 	Counters     request.Counters
-	Workers      []WorkerFacts // of the own zone
+	Workers      []WorkerFacts // of this host's zone
 	Units        []UnitFacts
 	JobsWaiting  int // jobs of the zone, if this host is its scheduler
 	JobsRunning  int
-	Recovering   bool // settles attempts of an earlier scheduler
+	Recovering   bool // attempts of an earlier scheduler or an unreachable worker are being settled
 	Silences     []Silence
 }
 
-// Silence is how long a peer that sends digests has not been heard.
+// Silence is the time since the last digest of a peer.
 type Silence struct {
 	Host ident.HostID
 	For  time.Duration
 }
 
-// WorkerFacts is what this host knows of one worker.
+// WorkerFacts is this host's state of one worker.
 type WorkerFacts struct {
 	Entry       ports.WorkerEntry
 	SlotsHeld   bool
 	ComputeHeld bool
-	Quarantined bool // requests fail there
+	Quarantined bool // gets only probe requests, because requests failed there
 	Requests    int64
 	Tasks       int
 	Used        resource.Vector // by running tasks, as last reported
 }
 
-// UnitFacts is what this host holds of one team's limit.
+// UnitFacts is the number of units of one team's limit that this host holds and
+// uses.
 type UnitFacts struct {
 	Team ident.TeamID
 	Held int64
 	Used int64
 }
 
-// Facts returns a picture of the engine.
+// Facts returns a snapshot of the engine's state.
 func (e *Engine) Facts() Facts {
 	f := Facts{
 		ConfigAge:    e.config.age(e.now),
