--- a/engine/config.go
+++ b/engine/config.go
@@ -13,32 +13,32 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// ConfigStream is the stream that operators publish configuration in.
+// ConfigStream is the log stream that operators publish configuration in.
 const ConfigStream ports.Stream = "config"
 
 const (
-	configPage  = 256                    // records of one read
-	configRetry = 250 * time.Millisecond // after a failed read
-	peerRetry   = 500 * time.Millisecond // between reads from peers
+	configPage  = 256                    // maximum number of records of one read
+	configRetry = 250 * time.Millisecond // pause after a failed read of the log
+	peerRetry   = 500 * time.Millisecond // pause between reads from peers
 )
 
-// configFollower keeps the configuration up to date, from the log, or from
-// peers while the log cannot be reached.
+// configFollower keeps the configuration up to date from the log, or from peers
+// while the log is unreachable or holds no snapshot.
 type configFollower struct {
 	follower *fleet.Follower
 	reader   stream.Reader
 	appender stream.Appender
 	poll     time.Duration
 
-	sentAt   time.Duration // of the open read of the log
+	sentAt   time.Duration // when the read of the log in flight was sent
 	knownAt  time.Duration // when the configuration was last known to be the newest
-	known    bool
+	known    bool          // knownAt is set
 	logFails bool          // the last read of the log failed
-	peerOpen bool          // a ReadPeer is under way
-	peerNext time.Duration // when the next may be sent
-	newest   ports.Offset
-	newestAt ident.HostID // peer that told of newest
-	noState  bool         // the log's records hold no whole configuration
+	peerOpen bool          // a ReadPeer is in flight
+	peerNext time.Duration // earliest time of the next ReadPeer
+	newest   ports.Offset  // newest offset in the digests of peers
+	newestAt ident.HostID  // peer that reported newest
+	noState  bool          // the log's records contain no complete configuration
 }
 
 func newConfigFollower(opts Options) configFollower {
@@ -52,7 +52,8 @@
 
 func (c *configFollower) state() *fleet.State { return c.follower.State() }
 
-// age returns how long ago the configuration was known to be the newest.
+// age returns the time since the configuration was last known to be the newest.
+// If it never was, that is the time since the process started.
 func (c *configFollower) age(now time.Duration) time.Duration {
 	if !c.known {
 		return now
@@ -65,10 +66,10 @@
 	return s != nil && s.UpstreamMode(worker) != fleet.ModeNone
 }
 
-// peerSeen notes what a peer's digest tells of the configuration.
+// peerSeen handles the configuration offset and age in a peer's digest.
 //
-// A peer that reads the log vouches for hosts that cannot: when both are at
-// one offset, this host's configuration is as old as the peer's.
+// A peer that reads the log confirms the configuration of hosts that cannot: if
+// both are at the same offset, this host's configuration has the peer's age.
 func (c *configFollower) peerSeen(now time.Duration, d member.Digest) {
 	if d.Config > c.newest {
 		c.newest = d.Config
@@ -87,7 +88,7 @@
 	}
 }
 
-// vouchedBy notes how new a peer's answer is, if it left this host level with
+// vouchedBy applies the age in a peer's answer, if this host has caught up with
 // the peer.
 func (c *configFollower) vouchedBy(now time.Duration, ev PeerConfig) {
 	s := c.state()
@@ -100,8 +101,8 @@
 	}
 }
 
-// tickConfig keeps a read of the log open, and asks a peer when the log fails
-// or holds no whole configuration any more.
+// tickConfig keeps a read of the log in flight. It reads from a peer if reads
+// of the log fail or the log no longer holds a complete configuration.
 func (e *Engine) tickConfig() {
 	c := &e.config
 	if cmd, ok := c.reader.Next(e.now, c.poll); ok {
@@ -114,7 +115,8 @@
 	e.snapshotConfig()
 }
 
-// askPeerConfig asks the peer with the newest configuration, if it is newer.
+// askPeerConfig sends a ReadPeer to the peer that reported the newest
+// configuration, if that is newer than this host's.
 func (e *Engine) askPeerConfig() {
 	c := &e.config
 	if c.peerOpen || e.now < c.peerNext {
@@ -130,7 +132,7 @@
 			return
 		}
 	}
-	c.newest, c.newestAt = 0, "" // that peer is gone; the next digest names another
+	c.newest, c.newestAt = 0, "" // that peer is no longer live; the next digest sets another
 }
 
 func (e *Engine) configRead(ev StreamRead) {
@@ -172,7 +174,7 @@
 	c.reader.Seek(c.follower.After())
 }
 
-// addConfig folds a page and publishes the new state.
+// addConfig applies a page of records and publishes the new state.
 func (e *Engine) addConfig(page ports.Page) {
 	before := e.config.state()
 	results, err := e.config.follower.Add(page)
@@ -195,7 +197,7 @@
 	}
 }
 
-// configChanged puts the newest configuration in force in every part.
+// configChanged applies the newest configuration to all parts of the engine.
 func (e *Engine) configChanged() {
 	state := e.config.state()
 	limits := make([]ledger.TeamLimit, 0, len(state.Teams()))
@@ -212,8 +214,8 @@
 	e.emit(ConfigChanged{State: state})
 }
 
-// configAsked serves a peer that is behind: the records after an offset, or the
-// whole configuration if they are not kept any more.
+// configAsked answers a peer's read with the records after its offset, or with
+// the whole configuration if this host no longer has those records.
 func (e *Engine) configAsked(ev ConfigAsked) {
 	reply := ConfigReply{Call: ev.Call, Age: e.config.age(e.now)}
 	if page, ok := e.config.follower.Since(ev.After); ok {
@@ -224,16 +226,18 @@
 	e.emit(reply)
 }
 
-// ConfigAge returns how long ago the configuration was known to be the newest.
+// ConfigAge returns the time since the configuration was last known to be the
+// newest. If it never was, that is the time since the process started.
 func (e *Engine) ConfigAge() time.Duration { return e.config.age(e.now) }
 
-// LogReachable reports whether the last read of the configuration succeeded.
+// LogReachable reports whether the last read of the configuration from the log
+// succeeded. It is true before the first read ends.
 func (e *Engine) LogReachable() bool { return !e.config.logFails }
 
-// snapshotConfig writes the configuration into its stream again before its
-// records expire. The scheduler of the first configured zone does so, or that
-// of a later zone if the first is cut off; a snapshot written by two hosts at
-// once is harmless.
+// snapshotConfig appends a snapshot of the configuration to its stream before
+// the records there expire. The scheduler of the first configured zone does so,
+// or that of a later zone if the first one is unreachable. It is harmless if two
+// hosts write a snapshot at the same time.
 func (e *Engine) snapshotConfig() {
 	c := &e.config
 	state := c.state()
@@ -252,6 +256,6 @@
 	e.emit(AppendGroup{Append: c.appender.Send(e.now, group)})
 }
 
-// snapshotPause keeps a snapshot that has not been read back yet from being
-// written again.
+// snapshotPause is the least time between two snapshots by this host, so that
+// one that has not been read back yet is not written again.
 const snapshotPause = 10 * time.Second
--- a/engine/drain.go
+++ b/engine/drain.go
@@ -9,19 +9,19 @@
 	"github.com/fireflyfold/fireflyfold/request"
 )
 
-// leaveWait is how long a planned stop waits for the log to take the record
-// that gives this host's units to others. Without it the units come back by a
-// reclaim, later.
+// leaveWait is the longest time that a planned stop waits until the log has the
+// record that transfers this host's units to others. Without the record, the
+// units are recovered later, by a reclaim.
 const leaveWait = 5 * time.Second
 
-// drainNotice is how long a planned stop lasts at least. Meanwhile whatever
-// arrives is refused as "not run", and peers and the platform's balancer learn
-// that this host takes nothing. What they sent to a host that had gone already
-// would break on its way, and nobody could tell whether it ran.
+// drainNotice is the least duration of a planned stop. During it new requests
+// are refused as "not run", and peers and the platform's load balancer learn
+// that this host accepts no more. If the host stopped earlier, requests on the
+// way to it would fail with an unknown outcome.
 const drainNotice = time.Second
 
-// drain starts the planned stop: nothing new is admitted, leases go to other
-// hosts, requests in flight end, and the units are given away.
+// drain starts the planned stop: no new work is admitted, leases are handed
+// over to other hosts, requests in flight end, and the units are transferred.
 func (e *Engine) drain() {
 	if e.draining {
 		return
@@ -34,8 +34,9 @@
 	e.stepLeases(lease.Drain{})
 }
 
-// tickDrain reports when the planned stop is complete. Units are given away
-// only after the last request has ended, or they would be used twice.
+// tickDrain continues the planned stop and reports when it is complete. Units
+// are transferred only after the last request has ended; earlier, they could be
+// used twice.
 func (e *Engine) tickDrain() {
 	if !e.draining || e.drained || e.now < e.drainBy {
 		return
