--- a/engine/engine.go
+++ b/engine/engine.go
@@ -15,7 +15,7 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// Engine is all state of one entry host. It is not safe for concurrent use.
+// Engine holds the state of one entry host. It is not safe for concurrent use.
 type Engine struct {
 	opts Options
 	now  time.Duration
@@ -33,29 +33,29 @@
 	calls      requestBook
 	demand     demand
 	zone       *zoneScheduler // nil unless this host is the zone's scheduler
-	zoneLife   uint64         // of the newest zone
+	zoneLife   uint64         // number of the newest zoneScheduler, from 1
 	claims     claimBook
 	reclaim    *reclaimWatch
 	left       leftBook
 	quarantine quarantineWatch
 
-	reports   map[lease.Key][]ports.TaskReport // of held leases, the last
+	reports   map[lease.Key][]ports.TaskReport // last report under each held lease
 	draining  bool
-	drainBy   time.Duration // a planned stop is not complete before this
-	leaving   bool          // the units are being given away
-	leaveBy   time.Duration // when to stop all the same
+	drainBy   time.Duration // earliest end of a planned stop
+	leaving   bool          // the units are being transferred to other hosts
+	leaveBy   time.Duration // when a planned stop ends even if that has not succeeded
 	drained   bool
-	dethroned bool
+	dethroned bool // other hosts have taken over the units; Step does nothing
 	view      View
 	viewSent  bool
-	viewOf    uint64        // changes of membership that the view shows
-	viewNext  time.Duration // when the view is worked out again at the latest
-	loadNext  time.Duration // when the load is told to membership again
-	out       []Command
+	viewOf    uint64        // member.Members.Changes when the view was computed
+	viewNext  time.Duration // when the view is computed again at the latest
+	loadNext  time.Duration // when the load is next reported to membership
+	out       []Command     // of the current Step
 
 	proposals   map[jobs.ProposalID]sentProposal
 	proposalID  jobs.ProposalID
-	refusedEnds []sentProposal // to be proposed again
+	refusedEnds []sentProposal // refused by a full owner, to be proposed again
 
 	routerPump pump[request.Command]
 	schedPump  pump[sched.Command]
@@ -63,7 +63,7 @@
 	unitsPump  pump[stream.Command]
 }
 
-// New returns the engine of a host that knows nothing yet.
+// New returns the engine of a host that has just started.
 func New(opts Options) *Engine {
 	opts = opts.withDefaults()
 	e := &Engine{
@@ -89,7 +89,7 @@
 	return e
 }
 
-// Step takes one event at now and returns the commands that follow from it, in
+// Step handles one event at time now and returns the resulting commands in
 // order. now must not decrease. The slice is valid until the next Step.
 func (e *Engine) Step(now time.Duration, ev Event) []Command {
 	e.now = max(e.now, now)
@@ -122,7 +122,8 @@
 	return e.out
 }
 
-// stepWork takes the events of callers' and operators' work.
+// stepWork handles the events of requests, jobs and operators, and the calls of
+// peers.
 func (e *Engine) stepWork(ev Event) {
 	switch ev := ev.(type) {
 	case RequestAdmitted:
@@ -164,8 +165,8 @@
 
 func (e *Engine) note(kind NoteKind, detail string) { e.emit(Noted{Kind: kind, Detail: detail}) }
 
-// tick lets time pass in every part, in the order that news flows: leases
-// lapse before anything is started under them.
+// tick advances every part to the present time. The order matters: leases lapse
+// first, before anything could be started under them.
 func (e *Engine) tick(ev Tick) {
 	e.wall = ev.Wall
 	e.stepLeases(lease.Tick{})
@@ -184,7 +185,7 @@
 	e.publishView()
 }
 
-// Self returns the holder that this engine is.
+// Self returns the holder that this engine acts as: its host and incarnation.
 func (e *Engine) Self() ident.Holder { return e.opts.Self }
 
 // Schedules reports whether this host owns its zone's job stream.
--- a/engine/handover.go
+++ b/engine/handover.go
@@ -10,53 +10,54 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// maxAskedAttempts bounds one question about left attempts.
+// maxAskedAttempts is the maximum number of attempts in one AskAttempts.
 const maxAskedAttempts = 256
 
-// AttemptState is what the zone's scheduler says of an attempt that an earlier
-// one started.
+// AttemptState is the state of an attempt of an earlier scheduler, as reported
+// by the zone's present scheduler.
 type AttemptState string
 
-// The states of asked attempts.
+// The states of attempts in an AttemptsReply.
 const (
 	AttemptOpen    AttemptState = "open"    // not known yet
-	AttemptOver    AttemptState = "over"    // does not run any more
-	AttemptAdopted AttemptState = "adopted" // runs on, and its units are counted by the scheduler
+	AttemptOver    AttemptState = "over"    // no longer running
+	AttemptAdopted AttemptState = "adopted" // still running; the present scheduler counts its units
 )
 
-// AskedAttempt names an attempt, and its service if it is a replica.
+// AskedAttempt identifies an attempt. Service is set if it is a replica.
 type AskedAttempt struct {
 	ID      ident.AttemptID
 	Service ident.ServiceID
 }
 
-// leftAttempt is an attempt that this host started and that runs on under
-// another scheduler of the zone, with units of this host.
+// leftAttempt is an attempt that this host started as scheduler and that may
+// still run, with units of this host, now that another host is the scheduler.
 type leftAttempt struct {
 	AskedAttempt
 	team  ident.TeamID
 	units int64
-	// moving names the handover that is to move the units; zero for none.
+	// moving is the number of the ledger handover in flight that transfers the
+	// units; zero for none.
 	moving uint64
 }
 
-// leftBook keeps the attempts that were left to another scheduler.
+// leftBook holds the attempts that were left to another scheduler.
 //
-// It guards against units that stay in use for ever: a host that gives the
-// zone's scheduling up, alive and well, hears no more of the ends of what it
-// started. It asks the present scheduler: an attempt that is over returns its
-// units; one that was adopted takes them along, by a record in the ledger, and
-// the adopter has counted them as used before that.
+// It prevents units from remaining in use forever: a host that is no longer the
+// zone's scheduler, but still runs, is not informed of the ends of the attempts
+// that it started. It asks the present scheduler. If an attempt is over, its
+// units are returned. If it was adopted, its units are transferred by a record
+// in the ledger; the adopter has counted them as used before that.
 type leftBook struct {
 	attempts map[ident.AttemptID]*leftAttempt
-	lastID   uint64
+	lastID   uint64 // number of the last handover
 }
 
 func newLeftBook() leftBook {
 	return leftBook{attempts: map[ident.AttemptID]*leftAttempt{}}
 }
 
-// leave notes the attempts of a scheduler that this host stops being.
+// leave records the attempts of z, which this host abandons.
 func (e *Engine) leave(z *zoneScheduler) {
 	for id, a := range z.attempts.byID {
 		if a.borrowed {
@@ -70,8 +71,9 @@
 	}
 }
 
-// retake reports whether an attempt was left by this host itself, and forgets
-// that: its units are counted here already.
+// retake reports whether an attempt that is being adopted was left by this host
+// itself, and if so removes it from the left attempts: its units still count as
+// used here.
 func (e *Engine) retake(id ident.AttemptID) bool {
 	l, ok := e.left.attempts[id]
 	if !ok || l.moving != 0 {
@@ -81,7 +83,7 @@
 	return true
 }
 
-// leftOver returns the units of an attempt that is over.
+// leftOver returns the units of a left attempt that is over.
 func (e *Engine) leftOver(id ident.AttemptID) {
 	l, ok := e.left.attempts[id]
 	if !ok || l.moving != 0 {
@@ -91,7 +93,8 @@
 	e.units.Done(l.team, l.units)
 }
 
-// tickLeft asks the zone's scheduler about left attempts.
+// tickLeft asks the zone's scheduler for the states of left attempts, which may
+// be this host again.
 func (e *Engine) tickLeft() {
 	if len(e.left.attempts) == 0 {
 		return
@@ -113,7 +116,8 @@
 	}
 }
 
-// asked lists attempts to ask about, in order.
+// asked returns the attempts to ask about, sorted, at most maxAskedAttempts.
+// Those whose units are being transferred are left out.
 func (b *leftBook) asked() []AskedAttempt {
 	var list []AskedAttempt
 	for _, l := range b.attempts {
@@ -125,7 +129,8 @@
 	return list[:min(len(list), maxAskedAttempts)]
 }
 
-// attemptsAsked answers an earlier scheduler of the zone.
+// attemptsAsked answers an earlier scheduler of the zone with the states of its
+// attempts.
 func (e *Engine) attemptsAsked(ev AttemptsAsked) {
 	reply := AttemptsReply{Call: ev.Call, From: e.opts.Self}
 	for _, a := range ev.Attempts {
@@ -134,8 +139,9 @@
 	e.emit(reply)
 }
 
-// attemptState tells what became of an attempt, and counts the units of one
-// that runs on here.
+// attemptState returns the state of an attempt that asker started. If it was
+// adopted here with asker's units, it counts them as used by this host from now
+// on.
 func (e *Engine) attemptState(asker ident.Holder, asked AskedAttempt) AttemptState {
 	if !e.Schedules() || e.zone.recovery != nil || !e.sizesKnown() {
 		return AttemptOpen
@@ -157,7 +163,8 @@
 	return AttemptOpen
 }
 
-// attemptsAnswered settles left attempts by the word of the scheduler.
+// attemptsAnswered applies the scheduler's answer: it returns the units of
+// attempts that are over and starts one handover for those that were adopted.
 func (e *Engine) attemptsAnswered(ev AttemptsAnswered) {
 	moved := map[ident.TeamID]int64{}
 	id := e.left.lastID + 1
@@ -184,12 +191,14 @@
 	e.stepUnits(ledger.HandOver{ID: id, To: ev.From, Units: moved})
 }
 
-// handedOver forgets attempts whose units are the other scheduler's now.
+// handedOver removes the attempts of a handover that the ledger has applied.
+// Their units belong to the other scheduler now.
 func (e *Engine) handedOver(id uint64) {
 	maps.DeleteFunc(e.left.attempts, func(_ ident.AttemptID, l *leftAttempt) bool { return l.moving == id })
 }
 
-// handOverVoid asks again about attempts whose adopter has gone.
+// handOverVoid makes the attempts of a void handover be asked about again. Their
+// adopter has left the ledger.
 func (e *Engine) handOverVoid(id uint64) {
 	for _, l := range e.left.attempts {
 		if l.moving == id {
--- a/engine/leases.go
+++ b/engine/leases.go
@@ -42,12 +42,12 @@
 func (e *Engine) sendLease(key lease.Key, sentAt time.Duration, req ports.LeaseRequest) {
 	entry, ok := e.members.Worker(key.Worker)
 	if !ok {
-		return // dropped from the list; the request times out in the manager
+		return // no longer listed; the request times out in the lease manager
 	}
 	e.emit(SendLease{Key: key, Addr: entry.Addr, SentAt: sentAt, Request: req})
 }
 
-// leaseAnswered hands a worker's answer to the lease manager.
+// leaseAnswered passes a worker's answer to membership and the lease manager.
 func (e *Engine) leaseAnswered(ev LeaseAnswered) {
 	var refused *ports.RefusedError
 	switch {
@@ -109,10 +109,11 @@
 	e.ackCalls(ev.Key, ev.Tasks)
 }
 
-// foreignCalls counts the calls that run on a worker and that the request path
-// does not count as in flight: those of earlier holders of the lease, and own
-// ones that were given up and have not stopped yet. A call that ended here
-// after the report was asked for may be in it and is not counted.
+// foreignCalls returns the number of calls that run on a worker but are not in
+// flight in the request path: calls of earlier lease holders, and this host's
+// own calls that ended here, for example by a timeout, but still run there. A
+// call that ended here after the report was requested may still be listed in it
+// and is not counted.
 func (e *Engine) foreignCalls(worker ident.WorkerID, sentAt time.Duration, tasks []ports.TaskReport) int64 {
 	var n int64
 	for _, t := range tasks {
@@ -123,8 +124,8 @@
 	return n
 }
 
-// ackCalls lets the worker forget calls that ended: their answers went to the
-// callers themselves.
+// ackCalls acknowledges ended calls, so that the worker can delete them. Their
+// answers have gone to the callers directly.
 func (e *Engine) ackCalls(key lease.Key, tasks []ports.TaskReport) {
 	var ids []string
 	for _, t := range tasks {
@@ -137,8 +138,8 @@
 	}
 }
 
-// quiesce stops starts on a worker that moves to another host, and reports
-// idle once none is on its way.
+// quiesce stops new starts on a worker whose lease is handed over to another
+// host, and reports the lease idle if none is in flight.
 func (e *Engine) quiesce(key lease.Key) {
 	if key.Class == ports.ClassCompute {
 		e.computeQuiesced(key)
@@ -150,9 +151,9 @@
 	}
 }
 
-// lost takes a worker out of use. The ledger is told at once when it was the
-// last lease, even if another is gained at the same moment: in between, others
-// may have proved that this host can start nothing.
+// lost takes a worker out of use. If it was the last lease, the ledger is
+// notified at once, even if another lease is gained at the same time: in
+// between, other hosts may have proved that this host can start nothing.
 func (e *Engine) lost(ev lease.Lost) {
 	e.note(NoteLease, "no longer holds the "+string(ev.Class)+" lease of worker "+string(ev.Worker))
 	delete(e.reports, ev.Key)
--- a/engine/linger.go
+++ b/engine/linger.go
@@ -9,17 +9,19 @@
 	"github.com/fireflyfold/fireflyfold/request"
 )
 
-// lingeringCall is a call that was given up and may still run on its worker.
+// lingeringCall is a call that ended for the request path without a conclusive
+// answer and may still run on its worker.
 type lingeringCall struct {
 	sentCall
-	since time.Duration
+	since time.Duration // when it ended for the request path
 }
 
-// requestLimits gives the request path the units of this host. A unit of a
-// call that may still run is not returned when the request path lets go of it.
+// requestLimits lets the request path use the units of this host. When the
+// request path returns the unit of a call that may still run, the unit remains
+// in use.
 type requestLimits struct {
 	units *ledger.Holder
-	kept  map[ident.TeamID]int64 // units that the next Done must not return
+	kept  map[ident.TeamID]int64 // units that the next calls of Done must not return
 }
 
 // TryUse implements request.Limits.
@@ -36,19 +38,20 @@
 	}
 }
 
-// linger keeps the unit of a call in use until the call cannot run any more.
+// linger keeps the unit of a call in use until the call can no longer run.
 //
-// It guards against a team over its upper limit: an answer is lost or late, the
-// caller is told so, the unit is given to the next request, and the worker runs
-// both. The unit is free when a report that was asked for after every message
-// of the call must have arrived does not list it, or when the worker must have
-// stopped it at its deadline by its own clock.
+// Without it, a team could exceed its limit: an answer is lost or late, the
+// caller is answered, the unit goes to the next request, and the worker runs
+// both calls. The unit is returned when the call is not in a report requested
+// after every message of the call must have arrived, or when the worker, by its
+// own clock, must have stopped the call at its deadline.
 func (e *Engine) linger(id ident.TaskID, sent sentCall) {
 	e.requestUnits.kept[sent.team] += request.UnitsOfRequest
 	e.calls.lingering[id] = lingeringCall{sentCall: sent, since: e.now}
 }
 
-// expireLingering frees the units of calls whose deadline has passed for sure.
+// expireLingering returns the units of calls whose deadline has passed on their
+// worker even at the largest clock drift.
 func (e *Engine) expireLingering() {
 	for id, c := range e.calls.lingering {
 		left := c.deadline - c.since
@@ -59,7 +62,9 @@
 	}
 }
 
-// reportLingering frees the units of calls that a worker no longer runs.
+// reportLingering returns the units of calls that a worker's report no longer
+// lists as running. Reports requested less than callInFlight after the end of a
+// call do not count for it: its messages may not have arrived yet.
 func (e *Engine) reportLingering(worker ident.WorkerID, sentAt time.Duration, tasks []ports.TaskReport) {
 	running := map[string]bool{}
 	for _, t := range tasks {
