--- a/engine/config.go
+++ b/engine/config.go
@@ -30,15 +30,15 @@
 	appender stream.Appender
 	poll     time.Duration
 
-	sentAt   time.Duration // when the read of the log in flight was sent
-	knownAt  time.Duration // when the configuration was last known to be the newest
-	known    bool          // knownAt is set
-	logFails bool          // the last read of the log failed
-	peerOpen bool          // a ReadPeer is in flight
-	peerNext time.Duration // earliest time of the next ReadPeer
-	newest   ports.Offset  // newest offset in the digests of peers
-	newestAt ident.HostID  // peer that reported newest
-	noState  bool          // the log's records contain no complete configuration
+	sentAt           time.Duration // when the read of the log in flight was sent
+	confirmedAt      time.Duration // when the configuration was last known to be the newest
+	confirmed        bool          // confirmedAt is set
+	logReadFailed    bool          // the last read of the log failed
+	peerReadInFlight bool          // a ReadPeer is in flight
+	nextPeerRead     time.Duration // earliest time of the next ReadPeer
+	newestOffset     ports.Offset  // newest offset in the digests of peers
+	newestPeer       ident.HostID  // peer that reported newest
+	noSnapshot       bool          // the log's records contain no complete configuration
 }
 
 func newConfigFollower(opts Options) configFollower {
@@ -55,10 +55,10 @@
 // age returns the time since the configuration was last known to be the newest.
 // If it never was, that is the time since the process started.
 func (c *configFollower) age(now time.Duration) time.Duration {
-	if !c.known {
+	if !c.confirmed {
 		return now
 	}
-	return now - c.knownAt
+	return now - c.confirmedAt
 }
 
 func (c *configFollower) upstreamMarked(worker ident.WorkerID) bool {
@@ -71,33 +71,33 @@
 // A peer that reads the log confirms the configuration of hosts that cannot: if
 // both are at the same offset, this host's configuration has the peer's age.
 func (c *configFollower) peerSeen(now time.Duration, d member.Digest) {
-	if d.Config > c.newest {
-		c.newest = d.Config
-		c.newestAt = d.Holder.Host
+	if d.Config > c.newestOffset {
+		c.newestOffset = d.Config
+		c.newestPeer = d.Holder.Host
 	}
 	s := c.state()
 	if s != nil && d.Config == s.Offset() {
-		c.vouched(now, d.ConfigAge)
+		c.confirmAge(now, d.ConfigAge)
 	}
 }
 
-func (c *configFollower) vouched(now, age time.Duration) {
-	if at := now - age; !c.known || at > c.knownAt {
-		c.known = true
-		c.knownAt = at
+func (c *configFollower) confirmAge(now, age time.Duration) {
+	if at := now - age; !c.confirmed || at > c.confirmedAt {
+		c.confirmed = true
+		c.confirmedAt = at
 	}
 }
 
-// vouchedBy applies the age in a peer's answer, if this host has caught up with
-// the peer.
-func (c *configFollower) vouchedBy(now time.Duration, ev PeerConfig) {
+// confirmAgeFromPeer applies the age in a peer's answer, if this host has caught
+// up with the peer.
+func (c *configFollower) confirmAgeFromPeer(now time.Duration, ev PeerConfig) {
 	s := c.state()
 	switch {
 	case s == nil:
 	case ev.State != nil && s.Offset() >= ev.State.Offset():
-		c.vouched(now, ev.Age)
+		c.confirmAge(now, ev.Age)
 	case ev.Page != nil && s.Offset() >= ev.Page.Last:
-		c.vouched(now, ev.Age)
+		c.confirmAge(now, ev.Age)
 	}
 }
 
@@ -109,7 +109,7 @@
 		c.sentAt = e.now
 		e.emit(ReadStream{Read: cmd})
 	}
-	if c.logFails || c.noState {
+	if c.logReadFailed || c.noSnapshot {
 		e.askPeerConfig()
 	}
 	e.snapshotConfig()
@@ -119,47 +119,47 @@
 // configuration, if that is newer than this host's.
 func (e *Engine) askPeerConfig() {
 	c := &e.config
-	if c.peerOpen || e.now < c.peerNext {
+	if c.peerReadInFlight || e.now < c.nextPeerRead {
 		return
 	}
-	if s := c.state(); s != nil && c.newest <= s.Offset() {
+	if s := c.state(); s != nil && c.newestOffset <= s.Offset() {
 		return
 	}
 	for _, p := range e.view.Hosts {
-		if p.Host == c.newestAt || (c.newestAt == "" && p.Heard) {
-			c.peerOpen = true
+		if p.Host == c.newestPeer || (c.newestPeer == "" && p.Heard) {
+			c.peerReadInFlight = true
 			e.emit(ReadPeer{Host: p.Host, Addr: p.Addr, After: c.follower.PeerAfter(), Limit: configPage})
 			return
 		}
 	}
-	c.newest, c.newestAt = 0, "" // that peer is no longer live; the next digest sets another
+	c.newestOffset, c.newestPeer = 0, "" // that peer is no longer live; the next digest sets another
 }
 
 func (e *Engine) configRead(ev StreamRead) {
 	c := &e.config
-	c.logFails = false
+	c.logReadFailed = false
 	ans := c.reader.Page(stream.PageRead{Tag: ev.Tag, Page: ev.Page})
 	if ans.Stale {
 		return
 	}
 	e.addConfig(ev.Page)
 	if s := c.state(); s != nil && s.Offset() >= ev.Page.Last {
-		c.known = true
-		c.knownAt = ans.SentAt
+		c.confirmed = true
+		c.confirmedAt = ans.SentAt
 	}
 	c.reader.Seek(c.follower.After())
 }
 
 func (e *Engine) configReadFailed(ev StreamFailed) {
-	e.config.logFails = true
+	e.config.logReadFailed = true
 	e.config.reader.Failed(e.now, stream.ReadFailed{Tag: ev.Tag})
 }
 
 func (e *Engine) peerConfig(ev PeerConfig) {
 	c := &e.config
-	c.peerOpen = false
-	c.peerNext = e.now + peerRetry
-	defer c.vouchedBy(e.now, ev)
+	c.peerReadInFlight = false
+	c.nextPeerRead = e.now + peerRetry
+	defer c.confirmAgeFromPeer(e.now, ev)
 	switch {
 	case ev.State != nil:
 		if c.follower.Adopt(ev.State) {
@@ -168,7 +168,7 @@
 	case ev.Page != nil:
 		e.addConfig(*ev.Page)
 	default:
-		c.newest, c.newestAt = 0, ""
+		c.newestOffset, c.newestPeer = 0, ""
 		return
 	}
 	c.reader.Seek(c.follower.After())
@@ -178,11 +178,11 @@
 func (e *Engine) addConfig(page ports.Page) {
 	before := e.config.state()
 	results, err := e.config.follower.Add(page)
-	e.config.noState = false
+	e.config.noSnapshot = false
 	switch err := err.(type) {
 	case nil:
 	case *fleet.NoSnapshotError:
-		e.config.noState = true
+		e.config.noSnapshot = true
 	default:
 		e.note(NoteConfig, err.Error())
 	}
@@ -232,7 +232,7 @@
 
 // LogReachable reports whether the last read of the configuration from the log
 // succeeded. It is true before the first read ends.
-func (e *Engine) LogReachable() bool { return !e.config.logFails }
+func (e *Engine) LogReachable() bool { return !e.config.logReadFailed }
 
 // snapshotConfig appends a snapshot of the configuration to its stream before
 // the records there expire. The scheduler of the first configured zone does so,
@@ -241,11 +241,11 @@
 func (e *Engine) snapshotConfig() {
 	c := &e.config
 	state := c.state()
-	if state == nil || !e.Schedules() || c.logFails {
+	if state == nil || !e.Schedules() || c.logReadFailed {
 		return
 	}
 	rank := slices.Index(e.opts.Zones, e.opts.Zone)
-	if !fleet.SnapshotDue(state, e.wall, e.opts.SnapshotEvery, rank) || !c.appender.Ready(e.now, snapshotPause) {
+	if !fleet.SnapshotDue(state, e.wall, e.opts.SnapshotEvery, rank) || !c.appender.Ready(e.now, minSnapshotInterval) {
 		return
 	}
 	group, err := fleet.SnapshotGroup(state, e.wall)
@@ -256,6 +256,6 @@
 	e.emit(AppendGroup{Append: c.appender.Send(e.now, group)})
 }
 
-// snapshotPause is the least time between two snapshots by this host, so that
-// one that has not been read back yet is not written again.
-const snapshotPause = 10 * time.Second
+// minSnapshotInterval is the least time between two snapshots by this host. It
+// prevents a second snapshot while the first has not been read back yet.
+const minSnapshotInterval = 10 * time.Second
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -39,19 +39,19 @@
 	left       leftBook
 	quarantine quarantineWatch
 
-	reports   map[lease.Key][]ports.TaskReport // last report under each held lease
-	draining  bool
-	drainBy   time.Duration // earliest end of a planned stop
-	leaving   bool          // the units are being transferred to other hosts
-	leaveBy   time.Duration // when a planned stop ends even if that has not succeeded
-	drained   bool
-	dethroned bool // other hosts have taken over the units; Step does nothing
-	view      View
-	viewSent  bool
-	viewOf    uint64        // member.Members.Changes when the view was computed
-	viewNext  time.Duration // when the view is computed again at the latest
-	loadNext  time.Duration // when the load is next reported to membership
-	out       []Command     // of the current Step
+	reports           map[lease.Key][]ports.TaskReport // last report under each held lease
+	draining          bool
+	drainNotBefore    time.Duration // earliest end of a planned stop
+	transferringUnits bool          // the units are being transferred to other hosts
+	leaveDeadline     time.Duration // when a planned stop ends even if that has not succeeded
+	drained           bool
+	dethroned         bool // other hosts have taken over the units; Step does nothing
+	view              View
+	viewSent          bool
+	viewOf            uint64        // member.Members.Changes when the view was computed
+	viewNext          time.Duration // when the view is computed again at the latest
+	loadNext          time.Duration // when the load is next reported to membership
+	out               []Command     // of the current Step
 
 	proposals   map[jobs.ProposalID]sentProposal
 	proposalID  jobs.ProposalID
--- a/engine/facts.go
+++ b/engine/facts.go
@@ -57,7 +57,7 @@
 func (e *Engine) Facts() Facts {
 	f := Facts{
 		ConfigAge:    e.config.age(e.now),
-		LogReachable: !e.config.logFails,
+		LogReachable: !e.config.logReadFailed,
 		Draining:     e.draining,
 		Scheduler:    e.Schedules(),
 		WaitingReqs:  e.router.Waiting(),
