--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -27,23 +27,23 @@
 
 const (
 	startRetry = 400 * time.Millisecond // time after which an unanswered start is sent again
-	// maxUnsent is the number of consecutive starts that fail before anything
-	// was sent after which the attempt is closed as never started.
-	maxUnsent = 3
+	// maxSendFailures is the number of consecutive starts that failed before
+	// anything was sent at which the attempt is closed as never started.
+	maxSendFailures = 3
 )
 
 // attempt is an attempt that this host assigned or adopted.
 type attempt struct {
 	sched.Assign
-	name      string // of the task on its worker
-	phase     phase
-	lease     ports.Epoch // epoch of the compute lease that it is started under
-	boot      uint64      // the worker's boot number when it was assigned
-	maybeSent bool        // a start got no answer and may have reached the worker
-	unsent    int         // consecutive starts that failed before anything was sent
-	retryAt   time.Duration
-	startedAt time.Duration // when the start was known to have taken effect
-	stop      stopOrder
+	name         string // of the task on its worker
+	phase        phase
+	lease        ports.Epoch // epoch of the compute lease that it is started under
+	boot         uint64      // the worker's boot number when it was assigned
+	maybeSent    bool        // a start got no answer and may have reached the worker
+	sendFailures int         // consecutive starts that failed before anything was sent
+	retryAt      time.Duration
+	startedAt    time.Duration // when the start was known to have taken effect
+	stop         stopOrder
 	// borrowed means that the units it uses still belong to the earlier holder
 	// that started it.
 	borrowed bool
@@ -78,10 +78,10 @@
 
 // serviceSeq returns a job number for a service: a hash of its name and the
 // number of the scheduler within the host's incarnation.
-func serviceSeq(id ident.ServiceID, life uint64) uint64 {
+func serviceSeq(id ident.ServiceID, schedulerNumber uint64) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(id)) // a hash never fails
-	_, _ = sum.Write(binary.BigEndian.AppendUint64(nil, life))
+	_, _ = sum.Write(binary.BigEndian.AppendUint64(nil, schedulerNumber))
 	return sum.Sum64()
 }
 
@@ -165,8 +165,8 @@
 	case refusal != "":
 		e.startRefused(a, refusal)
 	case errors.As(ev.Err, &notSent):
-		a.unsent++
-		if a.unsent >= maxUnsent && !a.maybeSent {
+		a.sendFailures++
+		if a.sendFailures >= maxSendFailures && !a.maybeSent {
 			e.endNever(a, "")
 		}
 	default:
--- a/engine/claims.go
+++ b/engine/claims.go
@@ -38,8 +38,8 @@
 // requestClaim is the proposal to record a caller's idempotency key in the log.
 // The request may run only when the record is there.
 type requestClaim struct {
-	ev        RequestAdmitted
-	abandoned bool // the caller has its answer; the request must not run
+	ev       RequestAdmitted
+	answered bool // the caller has its answer; the request must not run
 }
 
 // claim proposes a record of the request's key to the zone's stream. The
@@ -68,7 +68,7 @@
 }
 
 func (p *requestClaim) reject(e *Engine) {
-	p.abandoned = true
+	p.answered = true
 	e.emit(RequestDone{
 		ID:    p.ev.Request.ID,
 		Cause: &request.RejectedError{Cause: request.CauseClaim, RetryAfter: time.Second},
@@ -80,9 +80,9 @@
 func (p *requestClaim) effective(e *Engine, late bool) {
 	id := p.ev.Request.ID
 	e.claims.running[id] = true
-	if p.abandoned || late {
+	if p.answered || late {
 		e.claimEnded(id, work.OutcomeNotRun)
-		if !p.abandoned {
+		if !p.answered {
 			p.reject(e)
 		}
 		return
@@ -91,11 +91,11 @@
 }
 
 func (p *requestClaim) void(e *Engine, ev jobs.Void) {
-	if p.abandoned {
+	if p.answered {
 		return
 	}
 	if ev.Reason == jobs.VoidKeyConflict {
-		p.abandoned = true
+		p.answered = true
 		e.emit(RequestDone{ID: p.ev.Request.ID, Claim: &ClaimError{Job: ev.Job, Conflict: true, Outcome: work.OutcomeNotRun}})
 		return
 	}
@@ -108,7 +108,7 @@
 
 // existing answers a repeat of the key with the state of its first use.
 func (p *requestClaim) existing(e *Engine, job ident.JobID) {
-	if p.abandoned {
+	if p.answered {
 		return
 	}
 	claim := &ClaimError{Job: job, Outcome: work.OutcomeUnknown, Running: true}
@@ -116,7 +116,7 @@
 		claim.Running = false
 		claim.Outcome = first.Outcome
 	}
-	p.abandoned = true
+	p.answered = true
 	e.emit(RequestDone{ID: p.ev.Request.ID, Claim: claim})
 }
 
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -82,7 +82,7 @@
 
 		proposals: map[jobs.ProposalID]sentProposal{},
 	}
-	e.requestUnits = &requestLimits{units: e.units, kept: map[ident.TeamID]int64{}}
+	e.requestUnits = &requestLimits{units: e.units, retained: map[ident.TeamID]int64{}}
 	opts.Request.Limits = e.requestUnits
 	opts.Request.Rand = rand.New(rand.NewPCG(opts.Seed, uint64(opts.Self.Incarnation)))
 	e.router = request.New(opts.Request)
--- a/engine/handover.go
+++ b/engine/handover.go
@@ -36,9 +36,9 @@
 	AskedAttempt
 	team  ident.TeamID
 	units int64
-	// moving is the number of the ledger handover in flight that transfers the
-	// units; zero for none.
-	moving uint64
+	// handoverID is the number of the ledger handover in flight that transfers
+	// the units; zero for none.
+	handoverID uint64
 }
 
 // leftBook holds the attempts that were left to another scheduler.
@@ -49,8 +49,8 @@
 // units are returned. If it was adopted, its units are transferred by a record
 // in the ledger; the adopter has counted them as used before that.
 type leftBook struct {
-	attempts map[ident.AttemptID]*leftAttempt
-	lastID   uint64 // number of the last handover
+	attempts       map[ident.AttemptID]*leftAttempt
+	lastHandoverID uint64 // of the last handover started
 }
 
 func newLeftBook() leftBook {
@@ -76,7 +76,7 @@
 // used here.
 func (e *Engine) retake(id ident.AttemptID) bool {
 	l, ok := e.left.attempts[id]
-	if !ok || l.moving != 0 {
+	if !ok || l.handoverID != 0 {
 		return false
 	}
 	delete(e.left.attempts, id)
@@ -86,7 +86,7 @@
 // leftOver returns the units of a left attempt that is over.
 func (e *Engine) leftOver(id ident.AttemptID) {
 	l, ok := e.left.attempts[id]
-	if !ok || l.moving != 0 {
+	if !ok || l.handoverID != 0 {
 		return
 	}
 	delete(e.left.attempts, id)
@@ -121,7 +121,7 @@
 func (b *leftBook) asked() []AskedAttempt {
 	var list []AskedAttempt
 	for _, l := range b.attempts {
-		if l.moving == 0 {
+		if l.handoverID == 0 {
 			list = append(list, l.AskedAttempt)
 		}
 	}
@@ -167,42 +167,42 @@
 // attempts that are over and starts one handover for those that were adopted.
 func (e *Engine) attemptsAnswered(ev AttemptsAnswered) {
 	moved := map[ident.TeamID]int64{}
-	id := e.left.lastID + 1
+	id := e.left.lastHandoverID + 1
 	for i, state := range ev.States {
 		if i >= len(ev.Attempts) {
 			break
 		}
 		l, ok := e.left.attempts[ev.Attempts[i].ID]
-		if !ok || l.moving != 0 {
+		if !ok || l.handoverID != 0 {
 			continue
 		}
 		switch state {
 		case AttemptOver:
 			e.leftOver(l.ID)
 		case AttemptAdopted:
-			l.moving = id
+			l.handoverID = id
 			moved[l.team] += l.units
 		}
 	}
 	if len(moved) == 0 {
 		return
 	}
-	e.left.lastID = id
+	e.left.lastHandoverID = id
 	e.stepUnits(ledger.HandOver{ID: id, To: ev.From, Units: moved})
 }
 
 // handedOver removes the attempts of a handover that the ledger has applied.
 // Their units belong to the other scheduler now.
 func (e *Engine) handedOver(id uint64) {
-	maps.DeleteFunc(e.left.attempts, func(_ ident.AttemptID, l *leftAttempt) bool { return l.moving == id })
+	maps.DeleteFunc(e.left.attempts, func(_ ident.AttemptID, l *leftAttempt) bool { return l.handoverID == id })
 }
 
 // handOverVoid makes the attempts of a void handover be asked about again. Their
 // adopter has left the ledger.
 func (e *Engine) handOverVoid(id uint64) {
 	for _, l := range e.left.attempts {
-		if l.moving == id {
-			l.moving = 0
+		if l.handoverID == id {
+			l.handoverID = 0
 		}
 	}
 }
--- a/engine/leases.go
+++ b/engine/leases.go
@@ -88,7 +88,7 @@
 		Services:    entry.Service,
 		Slots:       ev.Size.Slots,
 		Connections: ev.Size.Connections,
-		Occupied:    e.foreignCalls(ev.Worker, ev.SentAt, ev.Tasks),
+		Occupied:    e.uncountedCalls(ev.Worker, ev.SentAt, ev.Tasks),
 	})
 	if listed {
 		e.applyMark(entry)
@@ -102,19 +102,19 @@
 		e.computeReported(ev)
 		return
 	}
-	e.stepRouter(request.WorkerFreed{Worker: ev.Worker, Occupied: e.foreignCalls(ev.Worker, ev.SentAt, ev.Tasks)})
+	e.stepRouter(request.WorkerFreed{Worker: ev.Worker, Occupied: e.uncountedCalls(ev.Worker, ev.SentAt, ev.Tasks)})
 	if len(e.calls.lingering) > 0 {
 		e.reportLingering(ev.Worker, ev.SentAt, ev.Tasks)
 	}
 	e.ackCalls(ev.Key, ev.Tasks)
 }
 
-// foreignCalls returns the number of calls that run on a worker but are not in
+// uncountedCalls returns the number of calls that run on a worker but are not in
 // flight in the request path: calls of earlier lease holders, and this host's
 // own calls that ended here, for example by a timeout, but still run there. A
 // call that ended here after the report was requested may still be listed in it
 // and is not counted.
-func (e *Engine) foreignCalls(worker ident.WorkerID, sentAt time.Duration, tasks []ports.TaskReport) int64 {
+func (e *Engine) uncountedCalls(worker ident.WorkerID, sentAt time.Duration, tasks []ports.TaskReport) int64 {
 	var n int64
 	for _, t := range tasks {
 		if !t.Ended && !e.calls.accounted(worker, t.ID, sentAt) {
--- a/engine/linger.go
+++ b/engine/linger.go
@@ -20,8 +20,8 @@
 // request path returns the unit of a call that may still run, the unit remains
 // in use.
 type requestLimits struct {
-	units *ledger.Holder
-	kept  map[ident.TeamID]int64 // units that the next calls of Done must not return
+	units    *ledger.Holder
+	retained map[ident.TeamID]int64 // units that the next calls of Done must not return
 }
 
 // TryUse implements request.Limits.
@@ -31,10 +31,10 @@
 
 // Done implements request.Limits.
 func (l *requestLimits) Done(team ident.TeamID, units int64) {
-	keep := min(l.kept[team], units)
-	l.kept[team] -= keep
-	if units > keep {
-		l.units.Done(team, units-keep)
+	retained := min(l.retained[team], units)
+	l.retained[team] -= retained
+	if units > retained {
+		l.units.Done(team, units-retained)
 	}
 }
 
@@ -46,7 +46,7 @@
 // after every message of the call must have arrived, or when the worker, by its
 // own clock, must have stopped the call at its deadline.
 func (e *Engine) linger(id ident.TaskID, sent sentCall) {
-	e.requestUnits.kept[sent.team] += request.UnitsOfRequest
+	e.requestUnits.retained[sent.team] += request.UnitsOfRequest
 	e.calls.lingering[id] = lingeringCall{sentCall: sent, since: e.now}
 }
 
