--- a/sched/job.go
+++ b/sched/job.go
@@ -99,7 +99,7 @@
 
 // waitDisplaced lets the task of a displaced attempt wait for the next one.
 func (j *job) waitDisplaced(a *attempt) {
-	if a.yields {
+	if a.requeueLast {
 		j.later = append(j.later, int32(a.id.Index))
 		return
 	}
@@ -167,7 +167,7 @@
 		}
 		s.queue.Push(j.team.Team, j.shape(), &j.item)
 	}
-	if j.waiting() == 0 || !s.open(j.item.Class()) {
+	if j.waiting() == 0 || !s.mayStart(j.item.Class()) {
 		return
 	}
 	if s.newest == nil {
