--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -114,7 +114,7 @@
 // recovery that relies on the record would search under the wrong lease.
 func (e *Engine) start(a *attempt) {
 	if a.phase == phaseAssigning && a.stop.control != "" {
-		e.endNever(a, "")
+		e.endNeverStarted(a, "")
 		return
 	}
 	epoch, held := e.leases.Epoch(lease.Key{Worker: a.Worker, Class: ports.ClassCompute}, e.now)
@@ -123,7 +123,7 @@
 		if a.maybeSent {
 			return // the worker's next report shows whether it runs
 		}
-		e.endNever(a, "")
+		e.endNeverStarted(a, "")
 		return
 	}
 	a.phase = phaseStarting
@@ -167,7 +167,7 @@
 	case errors.As(ev.Err, &notSent):
 		a.sendFailures++
 		if a.sendFailures >= maxSendFailures && !a.maybeSent {
-			e.endNever(a, "")
+			e.endNeverStarted(a, "")
 		}
 	default:
 		a.maybeSent = true
@@ -203,12 +203,12 @@
 		e.cycleLease(a.Worker, a.lease)
 		return
 	}
-	e.endNever(a, refusal)
+	e.endNeverStarted(a, refusal)
 }
 
-// endNever closes an attempt that certainly never ran. refusal is the worker's
+// endNeverStarted closes an attempt that certainly never ran. refusal is the worker's
 // reason, empty for none.
-func (e *Engine) endNever(a *attempt, refusal ports.Refusal) {
+func (e *Engine) endNeverStarted(a *attempt, refusal ports.Refusal) {
 	if a.Service != "" {
 		e.zone.attempts.drop(a)
 		e.stepSched(sched.StartRefused{ID: a.ID, Reason: refusal})
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -267,7 +267,7 @@
 // resolveOwn closes an attempt of this life whose worker could not be reached.
 func (e *Engine) resolveOwn(a *attempt, cmd jobs.Resolve) {
 	if cmd.Result == jobs.ResultNeverStarted {
-		e.endNever(a, "")
+		e.endNeverStarted(a, "")
 		return
 	}
 	e.endLost(a, cmd.Reason)
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -92,7 +92,7 @@
 			e.endLost(a, "its worker restarted")
 			continue
 		}
-		e.endNever(a, ports.RefusedEpoch)
+		e.endNeverStarted(a, ports.RefusedEpoch)
 	}
 }
 
