--- a/engine/attemptbook.go
+++ b/engine/attemptbook.go
@@ -65,8 +65,8 @@
 	b.byWorker[a.Worker] = list
 }
 
-// on returns a copy of the list of attempts on a worker, sorted by name.
-func (b *attemptBook) on(worker ident.WorkerID) []*attempt {
+// onWorker returns a copy of the list of attempts onWorker a worker, sorted by name.
+func (b *attemptBook) onWorker(worker ident.WorkerID) []*attempt {
 	return slices.Clone(b.byWorker[worker])
 }
 
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -84,7 +84,7 @@
 // epoch and that the worker does not have. A worker that restarted since may
 // have run them and forgotten it.
 func (e *Engine) settleOlderStarts(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.lease >= w.epoch || a.phase != phaseStarting || reportOf(w.tasks, a) != nil {
 			continue
 		}
@@ -224,7 +224,7 @@
 // findMissing closes attempts that were running before the report was asked
 // for and that the worker does not have any more: it lost them.
 func (e *Engine) findMissing(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.phase != phaseRunning || a.startedAt >= w.sentAt || reportOf(w.tasks, a) != nil {
 			continue
 		}
@@ -313,7 +313,7 @@
 
 func (e *Engine) bury(w *zoneWorker) {
 	var open []jobs.OpenAttempt
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.Service != "" {
 			e.endLost(a, "its worker cannot be reached")
 			continue
