--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -47,7 +47,7 @@
 	// borrowed means that the units it uses still belong to the earlier holder
 	// that started it.
 	borrowed bool
-	by       ident.Holder // the holder that started it, or the one that took over that holder's units
+	holder   ident.Holder // the holder that started it, or the one that took over that holder's units
 }
 
 // servicePrefix begins the task names of service replicas on workers. Replicas
@@ -95,7 +95,7 @@
 		e.stepSched(sched.StartRefused{ID: cmd.ID})
 		return
 	}
-	a := &attempt{Assign: cmd, phase: phaseAssigning, lease: epoch, boot: w.boot, by: e.opts.Self}
+	a := &attempt{Assign: cmd, phase: phaseAssigning, lease: epoch, boot: w.boot, holder: e.opts.Self}
 	e.zone.attempts.add(a)
 	if cmd.Service != "" {
 		e.start(a)
--- a/engine/handover.go
+++ b/engine/handover.go
@@ -148,9 +148,9 @@
 	}
 	a := e.zone.attempts.get(asked.ID)
 	switch {
-	case a != nil && a.borrowed && a.by == asker:
+	case a != nil && a.borrowed && a.holder == asker:
 		a.borrowed = false
-		a.by = e.opts.Self
+		a.holder = e.opts.Self
 		e.units.Count(a.Team, resource.LimitUnits(a.Need))
 		return AttemptAdopted
 	case a != nil && a.borrowed:
--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -334,7 +334,7 @@
 	adopted := map[ident.TeamID]int64{}
 	if e.zone != nil {
 		for _, a := range e.zone.attempts.byID {
-			if a.borrowed && a.by == ev.Dead {
+			if a.borrowed && a.holder == ev.Dead {
 				a.borrowed = false
 				adopted[a.Team] += resource.LimitUnits(a.Need)
 			}
@@ -354,7 +354,7 @@
 		return
 	}
 	for _, a := range e.zone.attempts.byID {
-		if a.by == dead {
+		if a.holder == dead {
 			a.borrowed = true
 		}
 	}
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -245,7 +245,7 @@
 		Assign: sched.Assign{ID: id, Worker: w.id, Team: job.Spec.Team, Need: job.Spec.Need, Run: job.Spec.Run},
 		phase:  phaseRunning,
 		lease:  w.epoch, startedAt: w.sentAt,
-		by: cmd.Report.Holder,
+		holder: cmd.Report.Holder,
 	})
 	e.countForeign(w)
 	if !w.marked {
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -207,7 +207,7 @@
 		phase:     phaseRunning,
 		lease:     w.epoch,
 		startedAt: w.sentAt,
-		by:        t.Holder,
+		holder:    t.Holder,
 	}
 	e.adopt(a)
 	e.stepSched(sched.ReplicaRestored{Service: service, Team: t.Team, ID: id, Worker: w.id, Need: t.Need})
@@ -216,8 +216,8 @@
 // adopt books an attempt that an earlier scheduler started. Its units are
 // those of that scheduler until they are reclaimed.
 func (e *Engine) adopt(a *attempt) {
-	a.by = e.units.State().Heir(a.by)
-	a.borrowed = !e.retake(a.ID) && a.by != e.opts.Self
+	a.holder = e.units.State().Heir(a.holder)
+	a.borrowed = !e.retake(a.ID) && a.holder != e.opts.Self
 	e.zone.attempts.add(a)
 }
 
