--- a/engine/handover.go
+++ b/engine/handover.go
@@ -57,8 +57,8 @@
 	return leftBook{attempts: map[ident.AttemptID]*leftAttempt{}}
 }
 
-// leave records the attempts of z, which this host abandons.
-func (e *Engine) leave(z *zoneScheduler) {
+// recordLeftAttempts records the attempts of z, which this host abandons.
+func (e *Engine) recordLeftAttempts(z *zoneScheduler) {
 	for id, a := range z.attempts.byID {
 		if a.borrowed {
 			continue
@@ -71,10 +71,10 @@
 	}
 }
 
-// retake reports whether an attempt that is being adopted was left by this host
+// takeBackLeftAttempt reports whether an attempt that is being adopted was left by this host
 // itself, and if so removes it from the left attempts: its units still count as
 // used here.
-func (e *Engine) retake(id ident.AttemptID) bool {
+func (e *Engine) takeBackLeftAttempt(id ident.AttemptID) bool {
 	l, ok := e.left.attempts[id]
 	if !ok || l.handoverID != 0 {
 		return false
@@ -83,8 +83,8 @@
 	return true
 }
 
-// leftOver returns the units of a left attempt that is over.
-func (e *Engine) leftOver(id ident.AttemptID) {
+// returnLeftUnits returns the units of a left attempt that is over.
+func (e *Engine) returnLeftUnits(id ident.AttemptID) {
 	l, ok := e.left.attempts[id]
 	if !ok || l.handoverID != 0 {
 		return
@@ -103,7 +103,7 @@
 	if e.Schedules() {
 		for _, a := range asked {
 			if e.attemptState(e.opts.Self, a) == AttemptOver {
-				e.leftOver(a.ID)
+				e.returnLeftUnits(a.ID)
 			}
 		}
 		return
@@ -178,7 +178,7 @@
 		}
 		switch state {
 		case AttemptOver:
-			e.leftOver(l.ID)
+			e.returnLeftUnits(l.ID)
 		case AttemptAdopted:
 			l.handoverID = id
 			moved[l.team] += l.units
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -286,7 +286,7 @@
 	if p.cmd.Result != jobs.ResultNeverStarted && p.cmd.Result != jobs.ResultLost {
 		e.ackTask(p.cmd.Attempt.Worker, taskName("", p.cmd.Attempt.Attempt))
 	}
-	e.leftOver(p.cmd.Attempt.Attempt)
+	e.returnLeftUnits(p.cmd.Attempt.Attempt)
 	e.settled(p.cmd.Attempt.Attempt.Job)
 }
 
@@ -357,7 +357,7 @@
 	e.note(NoteScheduler, "no longer schedules zone "+string(e.opts.Zone)+", "+ev.Owner.String()+" does")
 	e.abandonRecovery()
 	old := e.zone
-	e.leave(old)
+	e.recordLeftAttempts(old)
 	e.zone = e.newZone()
 	if ev.Owner != e.opts.Self {
 		e.zone.yieldTo = e.now + yieldFor
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -217,7 +217,7 @@
 // those of that scheduler until they are reclaimed.
 func (e *Engine) adopt(a *attempt) {
 	a.holder = e.units.State().Heir(a.holder)
-	a.borrowed = !e.retake(a.ID) && a.holder != e.opts.Self
+	a.borrowed = !e.takeBackLeftAttempt(a.ID) && a.holder != e.opts.Self
 	e.zone.attempts.add(a)
 }
 
--- a/engine/zone.go
+++ b/engine/zone.go
@@ -145,7 +145,7 @@
 	case !wanted && e.zone != nil:
 		e.note(NoteScheduler, "gives up scheduling zone "+string(e.opts.Zone))
 		e.abandonRecovery()
-		e.leave(e.zone)
+		e.recordLeftAttempts(e.zone)
 		e.zone = nil
 	}
 	e.stepOwner(jobs.WantOwnership{Want: wanted})
