--- a/engine/engine.go
+++ b/engine/engine.go
@@ -48,9 +48,9 @@
 	dethroned         bool // other hosts have taken over the units; Step does nothing
 	view              View
 	viewSent          bool
-	viewOf            uint64        // member.Members.Changes when the view was computed
-	viewNext          time.Duration // when the view is computed again at the latest
-	loadNext          time.Duration // when the load is next reported to membership
+	viewChanges       uint64        // member.Members.Changes when the view was computed
+	nextViewAt        time.Duration // when the view is computed again at the latest
+	nextLoadAt        time.Duration // when the load is next reported to membership
 	out               []Command     // of the current Step
 
 	proposals   map[jobs.ProposalID]sentProposal
--- a/engine/membership.go
+++ b/engine/membership.go
@@ -70,10 +70,10 @@
 
 // reportLoad tells membership what digests are to carry.
 func (e *Engine) reportLoad() {
-	if e.now < e.loadNext {
+	if e.now < e.nextLoadAt {
 		return
 	}
-	e.loadNext = e.now + loadEvery
+	e.nextLoadAt = e.now + loadEvery
 	load := member.Load{
 		FreeSlots: int(e.router.Free()),
 		Waiting:   e.router.Waiting(),
@@ -134,11 +134,11 @@
 // publishView gives the edges a new view when it has changed.
 func (e *Engine) publishView() {
 	changes := e.members.Changes()
-	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewOf == changes && e.now < e.viewNext {
+	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewChanges == changes && e.now < e.nextViewAt {
 		return
 	}
-	e.viewOf = changes
-	e.viewNext = e.now + viewEvery
+	e.viewChanges = changes
+	e.nextViewAt = e.now + viewEvery
 	view := View{Schedules: e.Schedules()}
 	for _, p := range e.members.Live(e.now) {
 		view.Hosts = append(view.Hosts, viewHost(p))
