--- a/engine/attemptbook.go
+++ b/engine/attemptbook.go
@@ -65,7 +65,7 @@
 	b.byWorker[a.Worker] = list
 }
 
-// onWorker returns a copy of the list of attempts onWorker a worker, sorted by name.
+// onWorker returns a copy of the list of attempts on a worker, sorted by name.
 func (b *attemptBook) onWorker(worker ident.WorkerID) []*attempt {
 	return slices.Clone(b.byWorker[worker])
 }
--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -206,8 +206,8 @@
 	e.endNeverStarted(a, refusal)
 }
 
-// endNeverStarted closes an attempt that certainly never ran. refusal is the worker's
-// reason, empty for none.
+// endNeverStarted closes an attempt that certainly never ran. refusal is the
+// worker's reason, empty for none.
 func (e *Engine) endNeverStarted(a *attempt, refusal ports.Refusal) {
 	if a.Service != "" {
 		e.zone.attempts.drop(a)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -55,7 +55,7 @@
 
 	proposals   map[jobs.ProposalID]sentProposal
 	proposalID  jobs.ProposalID
-	refusedEnds []sentProposal // refused by a full owner, to be proposed again
+	refusedEnds []sentProposal // refused while the owner was at its bound, to be proposed again
 
 	routerPump pump[request.Command]
 	schedPump  pump[sched.Command]
--- a/engine/handover.go
+++ b/engine/handover.go
@@ -57,7 +57,8 @@
 	return leftBook{attempts: map[ident.AttemptID]*leftAttempt{}}
 }
 
-// recordLeftAttempts records the attempts of z, which this host abandons.
+// recordLeftAttempts records the attempts of a scheduler that this host stops.
+// Borrowed ones use no units of this host and are left out.
 func (e *Engine) recordLeftAttempts(z *zoneScheduler) {
 	for id, a := range z.attempts.byID {
 		if a.borrowed {
@@ -71,9 +72,9 @@
 	}
 }
 
-// takeBackLeftAttempt reports whether an attempt that is being adopted was left by this host
-// itself, and if so removes it from the left attempts: its units still count as
-// used here.
+// takeBackLeftAttempt reports whether an attempt that is being adopted was left
+// by this host itself, and if so removes it from the left attempts: its units
+// still count as used here.
 func (e *Engine) takeBackLeftAttempt(id ident.AttemptID) bool {
 	l, ok := e.left.attempts[id]
 	if !ok || l.handoverID != 0 {
