--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -245,7 +245,7 @@
 		Assign: sched.Assign{ID: id, Worker: w.id, Team: job.Spec.Team, Need: job.Spec.Need, Run: job.Spec.Run},
 		phase:  phaseRunning,
 		lease:  w.epoch, startedAt: w.sentAt,
-		by: cmd.Report.Holder,
+		holder: cmd.Report.Holder,
 	})
 	e.countForeign(w)
 	if !w.marked {
@@ -267,7 +267,7 @@
 // resolveOwn closes an attempt of this life whose worker could not be reached.
 func (e *Engine) resolveOwn(a *attempt, cmd jobs.Resolve) {
 	if cmd.Result == jobs.ResultNeverStarted {
-		e.endNever(a, "")
+		e.endNeverStarted(a, "")
 		return
 	}
 	e.endLost(a, cmd.Reason)
@@ -286,7 +286,7 @@
 	if p.cmd.Result != jobs.ResultNeverStarted && p.cmd.Result != jobs.ResultLost {
 		e.ackTask(p.cmd.Attempt.Worker, taskName("", p.cmd.Attempt.Attempt))
 	}
-	e.leftOver(p.cmd.Attempt.Attempt)
+	e.returnLeftUnits(p.cmd.Attempt.Attempt)
 	e.settled(p.cmd.Attempt.Attempt.Job)
 }
 
@@ -357,7 +357,7 @@
 	e.note(NoteScheduler, "no longer schedules zone "+string(e.opts.Zone)+", "+ev.Owner.String()+" does")
 	e.abandonRecovery()
 	old := e.zone
-	e.leave(old)
+	e.recordLeftAttempts(old)
 	e.zone = e.newZone()
 	if ev.Owner != e.opts.Self {
 		e.zone.yieldTo = e.now + yieldFor
