--- a/engine/handover.go
+++ b/engine/handover.go
@@ -10,54 +10,56 @@
 	"github.com/fireflyfold/fireflyfold/resource"
 )
 
-// maxAskedAttempts bounds one question about left attempts.
+// maxAskedAttempts is the maximum number of attempts in one AskAttempts.
 const maxAskedAttempts = 256
 
-// AttemptState is what the zone's scheduler says of an attempt that an earlier
-// one started.
+// AttemptState is the state of an attempt of an earlier scheduler, as reported
+// by the zone's present scheduler.
 type AttemptState string
 
-// The states of asked attempts.
+// The states of attempts in an AttemptsReply.
 const (
 	AttemptOpen    AttemptState = "open"    // not known yet
-	AttemptOver    AttemptState = "over"    // does not run any more
-	AttemptAdopted AttemptState = "adopted" // runs on, and its units are counted by the scheduler
+	AttemptOver    AttemptState = "over"    // no longer running
+	AttemptAdopted AttemptState = "adopted" // still running; the present scheduler counts its units
 )
 
-// AskedAttempt names an attempt, and its service if it is a replica.
+// AskedAttempt identifies an attempt. Service is set if it is a replica.
 type AskedAttempt struct {
 	ID      ident.AttemptID
 	Service ident.ServiceID
 }
 
-// leftAttempt is an attempt that this host started and that runs on under
-// another scheduler of the zone, with units of this host.
+// leftAttempt is an attempt that this host started as scheduler and that may
+// still run, with units of this host, now that another host is the scheduler.
 type leftAttempt struct {
 	AskedAttempt
 	team  ident.TeamID
 	units int64
-	// moving names the handover that is to move the units; zero for none.
-	moving uint64
+	// handoverID is the number of the ledger handover in flight that transfers
+	// the units; zero for none.
+	handoverID uint64
 }
 
-// leftBook keeps the attempts that were left to another scheduler.
+// leftBook holds the attempts that were left to another scheduler.
 //
-// It guards against units that stay in use for ever: a host that gives the
-// zone's scheduling up, alive and well, hears no more of the ends of what it
-// started. It asks the present scheduler: an attempt that is over returns its
-// units; one that was adopted takes them along, by a record in the ledger, and
-// the adopter has counted them as used before that.
+// It prevents units from remaining in use forever: a host that is no longer the
+// zone's scheduler, but still runs, is not informed of the ends of the attempts
+// that it started. It asks the present scheduler. If an attempt is over, its
+// units are returned. If it was adopted, its units are transferred by a record
+// in the ledger; the adopter has counted them as used before that.
 type leftBook struct {
-	attempts map[ident.AttemptID]*leftAttempt
-	lastID   uint64
+	attempts       map[ident.AttemptID]*leftAttempt
+	lastHandoverID uint64 // of the last handover started
 }
 
 func newLeftBook() leftBook {
 	return leftBook{attempts: map[ident.AttemptID]*leftAttempt{}}
 }
 
-// leave notes the attempts of a scheduler that this host stops being.
-func (e *Engine) leave(z *zoneScheduler) {
+// recordLeftAttempts records the attempts of a scheduler that this host stops.
+// Borrowed ones use no units of this host and are left out.
+func (e *Engine) recordLeftAttempts(z *zoneScheduler) {
 	for id, a := range z.attempts.byID {
 		if a.borrowed {
 			continue
@@ -70,28 +72,30 @@
 	}
 }
 
-// retake reports whether an attempt was left by this host itself, and forgets
-// that: its units are counted here already.
-func (e *Engine) retake(id ident.AttemptID) bool {
+// takeBackLeftAttempt reports whether an attempt that is being adopted was left
+// by this host itself, and if so removes it from the left attempts: its units
+// still count as used here.
+func (e *Engine) takeBackLeftAttempt(id ident.AttemptID) bool {
 	l, ok := e.left.attempts[id]
-	if !ok || l.moving != 0 {
+	if !ok || l.handoverID != 0 {
 		return false
 	}
 	delete(e.left.attempts, id)
 	return true
 }
 
-// leftOver returns the units of an attempt that is over.
-func (e *Engine) leftOver(id ident.AttemptID) {
+// returnLeftUnits returns the units of a left attempt that is over.
+func (e *Engine) returnLeftUnits(id ident.AttemptID) {
 	l, ok := e.left.attempts[id]
-	if !ok || l.moving != 0 {
+	if !ok || l.handoverID != 0 {
 		return
 	}
 	delete(e.left.attempts, id)
 	e.units.Done(l.team, l.units)
 }
 
-// tickLeft asks the zone's scheduler about left attempts.
+// tickLeft asks the zone's scheduler for the states of left attempts, which may
+// be this host again.
 func (e *Engine) tickLeft() {
 	if len(e.left.attempts) == 0 {
 		return
@@ -100,7 +104,7 @@
 	if e.Schedules() {
 		for _, a := range asked {
 			if e.attemptState(e.opts.Self, a) == AttemptOver {
-				e.leftOver(a.ID)
+				e.returnLeftUnits(a.ID)
 			}
 		}
 		return
@@ -113,11 +117,12 @@
 	}
 }
 
-// asked lists attempts to ask about, in order.
+// asked returns the attempts to ask about, sorted, at most maxAskedAttempts.
+// Those whose units are being transferred are left out.
 func (b *leftBook) asked() []AskedAttempt {
 	var list []AskedAttempt
 	for _, l := range b.attempts {
-		if l.moving == 0 {
+		if l.handoverID == 0 {
 			list = append(list, l.AskedAttempt)
 		}
 	}
@@ -125,7 +130,8 @@
 	return list[:min(len(list), maxAskedAttempts)]
 }
 
-// attemptsAsked answers an earlier scheduler of the zone.
+// attemptsAsked answers an earlier scheduler of the zone with the states of its
+// attempts.
 func (e *Engine) attemptsAsked(ev AttemptsAsked) {
 	reply := AttemptsReply{Call: ev.Call, From: e.opts.Self}
 	for _, a := range ev.Attempts {
@@ -134,17 +140,18 @@
 	e.emit(reply)
 }
 
-// attemptState tells what became of an attempt, and counts the units of one
-// that runs on here.
+// attemptState returns the state of an attempt that asker started. If it was
+// adopted here with asker's units, it counts them as used by this host from now
+// on.
 func (e *Engine) attemptState(asker ident.Holder, asked AskedAttempt) AttemptState {
 	if !e.Schedules() || e.zone.recovery != nil || !e.sizesKnown() {
 		return AttemptOpen
 	}
 	a := e.zone.attempts.get(asked.ID)
 	switch {
-	case a != nil && a.borrowed && a.by == asker:
+	case a != nil && a.borrowed && a.holder == asker:
 		a.borrowed = false
-		a.by = e.opts.Self
+		a.holder = e.opts.Self
 		e.units.Count(a.Team, resource.LimitUnits(a.Need))
 		return AttemptAdopted
 	case a != nil && a.borrowed:
@@ -157,43 +164,46 @@
 	return AttemptOpen
 }
 
-// attemptsAnswered settles left attempts by the word of the scheduler.
+// attemptsAnswered applies the scheduler's answer: it returns the units of
+// attempts that are over and starts one handover for those that were adopted.
 func (e *Engine) attemptsAnswered(ev AttemptsAnswered) {
 	moved := map[ident.TeamID]int64{}
-	id := e.left.lastID + 1
+	id := e.left.lastHandoverID + 1
 	for i, state := range ev.States {
 		if i >= len(ev.Attempts) {
 			break
 		}
 		l, ok := e.left.attempts[ev.Attempts[i].ID]
-		if !ok || l.moving != 0 {
+		if !ok || l.handoverID != 0 {
 			continue
 		}
 		switch state {
 		case AttemptOver:
-			e.leftOver(l.ID)
+			e.returnLeftUnits(l.ID)
 		case AttemptAdopted:
-			l.moving = id
+			l.handoverID = id
 			moved[l.team] += l.units
 		}
 	}
 	if len(moved) == 0 {
 		return
 	}
-	e.left.lastID = id
+	e.left.lastHandoverID = id
 	e.stepUnits(ledger.HandOver{ID: id, To: ev.From, Units: moved})
 }
 
-// handedOver forgets attempts whose units are the other scheduler's now.
+// handedOver removes the attempts of a handover that the ledger has applied.
+// Their units belong to the other scheduler now.
 func (e *Engine) handedOver(id uint64) {
-	maps.DeleteFunc(e.left.attempts, func(_ ident.AttemptID, l *leftAttempt) bool { return l.moving == id })
+	maps.DeleteFunc(e.left.attempts, func(_ ident.AttemptID, l *leftAttempt) bool { return l.handoverID == id })
 }
 
-// handOverVoid asks again about attempts whose adopter has gone.
+// handOverVoid makes the attempts of a void handover be asked about again. Their
+// adopter has left the ledger.
 func (e *Engine) handOverVoid(id uint64) {
 	for _, l := range e.left.attempts {
-		if l.moving == id {
-			l.moving = 0
+		if l.handoverID == id {
+			l.handoverID = 0
 		}
 	}
 }
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -84,7 +84,7 @@
 // epoch and that the worker does not have. A worker that restarted since may
 // have run them and forgotten it.
 func (e *Engine) settleOlderStarts(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.lease >= w.epoch || a.phase != phaseStarting || reportOf(w.tasks, a) != nil {
 			continue
 		}
@@ -92,7 +92,7 @@
 			e.endLost(a, "its worker restarted")
 			continue
 		}
-		e.endNever(a, ports.RefusedEpoch)
+		e.endNeverStarted(a, ports.RefusedEpoch)
 	}
 }
 
@@ -207,7 +207,7 @@
 		phase:     phaseRunning,
 		lease:     w.epoch,
 		startedAt: w.sentAt,
-		by:        t.Holder,
+		holder:    t.Holder,
 	}
 	e.adopt(a)
 	e.stepSched(sched.ReplicaRestored{Service: service, Team: t.Team, ID: id, Worker: w.id, Need: t.Need})
@@ -216,15 +216,15 @@
 // adopt books an attempt that an earlier scheduler started. Its units are
 // those of that scheduler until they are reclaimed.
 func (e *Engine) adopt(a *attempt) {
-	a.by = e.units.State().Heir(a.by)
-	a.borrowed = !e.retake(a.ID) && a.by != e.opts.Self
+	a.holder = e.units.State().Heir(a.holder)
+	a.borrowed = !e.takeBackLeftAttempt(a.ID) && a.holder != e.opts.Self
 	e.zone.attempts.add(a)
 }
 
 // findMissing closes attempts that were running before the report was asked
 // for and that the worker does not have any more: it lost them.
 func (e *Engine) findMissing(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.phase != phaseRunning || a.startedAt >= w.sentAt || reportOf(w.tasks, a) != nil {
 			continue
 		}
@@ -313,7 +313,7 @@
 
 func (e *Engine) bury(w *zoneWorker) {
 	var open []jobs.OpenAttempt
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.Service != "" {
 			e.endLost(a, "its worker cannot be reached")
 			continue
