--- a/host/host_test.go
+++ b/host/host_test.go
@@ -114,7 +114,7 @@
 }
 
 // A replaced leader may keep sending starts and stops to workers. A worker that has
-// seen the successor's fencing token refuses them: the successor takes over the running
+// seen the new leader's fencing token refuses them: the new leader takes over the running
 // job, and its tasks run once.
 func TestStaleLeaderIsRefused(t *testing.T) {
 	f := newTestRegion(t, 2, 1, 300*time.Millisecond)
@@ -225,7 +225,7 @@
 }
 
 // One partition of the log is down while others work. A leader that used only one
-// partition could start no tasks, any successor would have the same problem, and
+// partition could start no tasks, any new leader would have the same problem, and
 // submissions would wait too. Both must continue in the next partition, and a later
 // leader must read the entries in the order they were written.
 func TestAppendsContinueWithPartitionDown(t *testing.T) {
--- a/region/probe.go
+++ b/region/probe.go
@@ -54,7 +54,7 @@
 	// After an unanswered probe, leases are not extended until the worker answers. Each
 	// renewal may be executed late, so that the runs of a worker that does not come back
 	// could never be declared lost. Such a probe renews and acknowledges nothing and only
-	// checks the connection.
+	// shows whether the worker answers.
 	if w.fenced && !w.probeMissed {
 		request.AckedUpTo = w.acked
 		request.Wait = probeWait
--- a/region/region.go
+++ b/region/region.go
@@ -6,7 +6,7 @@
 // Invariants:
 //
 //   - Every assignment is committed to the log before its start is sent, so a
-//     successor knows every run that may be alive, and on which worker.
+//     new leader knows every run that may be alive, and on which worker.
 //   - Every end of a run is committed to the log before it is acknowledged to the
 //     worker, which then drops it.
 //   - The log rejects appends of a replaced leader, and a worker rejects calls
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -94,9 +94,9 @@
 	w.mustComplete("a")
 }
 
-// The leader does not reach the log for longer than a successor waits. It must stop
-// renewing leases: on a worker that the successor cannot reach, renewals would keep a task
-// alive that the successor starts again on another worker.
+// The leader does not reach the log for longer than a new leader waits. It must stop
+// renewing leases: on a worker that the new leader cannot reach, renewals would keep a task
+// alive that the new leader starts again on another worker.
 func TestNoLeaseRenewalWithoutProofOfLeadership(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
--- a/region/worker.go
+++ b/region/worker.go
@@ -95,7 +95,7 @@
 }
 
 func (s *Scheduler) workerListed(e model.WorkerEntry) {
-	s.endPredecessorAt(e)
+	s.endEarlierWorkerAt(e)
 	w := s.workerNamed(e.ID)
 	if w.outdated(e) {
 		s.explain("", "entry of an earlier life passed over", Field{"worker", e.ID}, Field{"born", e.BornUnix}, Field{"known", w.entry.BornUnix})
@@ -133,9 +133,9 @@
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.ref.BornUnix > e.BornUnix })
 }
 
-// endPredecessorAt ends the runs of a worker that had the entry's address before: the new
+// endEarlierWorkerAt ends the runs of a worker that had the entry's address before: the new
 // process has no runs of the old one, whatever its id.
-func (s *Scheduler) endPredecessorAt(e model.WorkerEntry) {
+func (s *Scheduler) endEarlierWorkerAt(e model.WorkerEntry) {
 	for _, w := range s.workerList {
 		if w.entry.Address != e.Address || w.entry.ID == e.ID || w.entry.BornUnix >= e.BornUnix {
 			continue
