--- a/lease/advance.go
+++ b/lease/advance.go
@@ -7,16 +7,16 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// lapse ends a lease whose time is used up.
-func (m *Manager) lapse(now time.Duration, c *control) {
+// expireIfDue ends a lease that has expired.
+func (m *Manager) expireIfDue(now time.Duration, c *control) {
 	if c.phase == phaseNone || now < c.until {
 		return
 	}
-	m.lose(now, c)
+	m.endLease(now, c)
 }
 
-// lose ends a lease and makes the next acquire due at once.
-func (m *Manager) lose(now time.Duration, c *control) {
+// endLease ends a lease and makes the next Acquire due immediately.
+func (m *Manager) endLease(now time.Duration, c *control) {
 	if c.holding() {
 		m.emit(Lost{Key: c.key, Epoch: c.epoch})
 	}
@@ -26,7 +26,8 @@
 	c.failures = 0
 }
 
-// advance sends what is due at now and schedules the next wake.
+// advance times out the pending request, sends what is due at now and schedules
+// the next wake.
 func (m *Manager) advance(now time.Duration, c *control) {
 	if c.pending && now >= c.sentAt+m.opts.RequestTimeout {
 		c.pending = false
@@ -36,7 +37,7 @@
 	case phaseHeld:
 		m.renewIfDue(now, c)
 	case phaseHandover:
-		if now >= c.handoverBy {
+		if now >= c.handoverDeadline {
 			m.release(now, c)
 		} else {
 			m.renewIfDue(now, c)
@@ -46,8 +47,8 @@
 			m.sendRelease(now, c)
 		}
 	default:
-		if m.forgettable(now, c) {
-			m.forget(c)
+		if m.removable(now, c) {
+			m.remove(c)
 			return
 		}
 		m.acquireIfDue(now, c)
@@ -55,13 +56,13 @@
 	m.schedule(c)
 }
 
-// forgettable reports whether no answer can come any more that would give
-// this host the lease.
-func (m *Manager) forgettable(now time.Duration, c *control) bool {
+// removable reports whether the lease is not wanted and a grant still in flight
+// could no longer be used.
+func (m *Manager) removable(now time.Duration, c *control) bool {
 	return !c.wanted && now >= c.sentAt+m.opts.TTL
 }
 
-func (m *Manager) forget(c *control) {
+func (m *Manager) remove(c *control) {
 	if c.index != unscheduled {
 		heap.Remove(&m.wakes, c.index)
 	}
@@ -91,7 +92,7 @@
 	m.emit(Renew{Key: c.key, SentAt: now, Request: m.request(now, c, c.epoch)})
 }
 
-// request builds a lease request and notes that it is under way.
+// request builds a lease request and marks it as pending.
 func (m *Manager) request(now time.Duration, c *control, epoch ports.Epoch) ports.LeaseRequest {
 	c.pending = true
 	c.sentAt = now
@@ -106,8 +107,8 @@
 	}
 }
 
-// backOff makes the next request due after a wait that doubles with each
-// failure in a row, up to the time between renewals.
+// backOff delays the next request by RetryMin, doubled for each consecutive
+// failure, up to RenewEvery.
 func (m *Manager) backOff(now time.Duration, c *control) {
 	wait := m.opts.RenewEvery
 	if shifted := m.opts.RetryMin << min(c.failures, maxBackOffShift); shifted < wait {
@@ -120,7 +121,7 @@
 // maxBackOffShift keeps the doubling of RetryMin from overflowing.
 const maxBackOffShift = 16
 
-// jitter shortens a wait by up to jitterFraction of it.
+// jitter shortens a wait by a random part of at most jitterFraction.
 func (m *Manager) jitter(wait time.Duration) time.Duration {
 	return wait - time.Duration(m.rng.Float64()*jitterFraction*float64(wait))
 }
--- a/lease/answer.go
+++ b/lease/answer.go
@@ -6,18 +6,18 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// granted takes in a grant.
+// granted handles a grant.
 //
-// It guards against late and doubled answers: a grant counts from the SentAt
-// of the request that it answers, so one that comes late gives only what is
-// left of its span, one that comes twice gives nothing, and one of an epoch
-// that was released, refused or replaced is dropped.
+// It guards against late and duplicate answers. A grant counts from the SentAt
+// of the request that it answers: a late grant gives only the rest of its span,
+// a duplicate has no effect, and a grant of an epoch that was released, refused
+// or replaced is dropped.
 func (m *Manager) granted(now time.Duration, c *control, ev Granted) {
 	current := m.answered(c, ev.SentAt, true)
 	until := ev.SentAt + m.span
-	if ev.Grant.Epoch < c.floor || now >= until {
+	if ev.Grant.Epoch < c.minEpoch || now >= until {
 		if current {
-			m.backOff(now, c) // asking again at once could go on for ever
+			m.backOff(now, c) // the worker may repeat this grant; an immediate retry could loop without end
 		}
 		return
 	}
@@ -28,7 +28,8 @@
 	m.gained(now, c, ev, until)
 }
 
-// answered ends the wait for the request sent at sentAt.
+// answered clears the pending request if it was sent at sentAt, and reports
+// whether it was.
 func (m *Manager) answered(c *control, sentAt time.Duration, granted bool) bool {
 	if !c.pending || c.sentAt != sentAt {
 		return false
@@ -43,27 +44,27 @@
 }
 
 func (m *Manager) renewed(now time.Duration, c *control, ev Granted, until time.Duration) {
-	if ev.SentAt <= c.reported {
+	if ev.SentAt <= c.reportSentAt {
 		return
 	}
 	c.until = until
 	c.next = max(now, ev.SentAt+m.jitter(m.opts.RenewEvery))
-	c.reported = ev.SentAt
+	c.reportSentAt = ev.SentAt
 	m.emit(Reported{Key: c.key, Epoch: c.epoch, SentAt: ev.SentAt, Boot: ev.Grant.Boot, Size: ev.Grant.Size, Tasks: ev.Grant.Tasks})
 }
 
-// gained takes in a new epoch. A host that no longer wants the lease when the
-// grant arrives gives it back at once, or nobody could use the worker for a
-// whole TTL.
+// gained handles the grant of a new epoch. If the lease is no longer wanted, it
+// is released immediately; otherwise no host could use the worker for a whole
+// TTL.
 func (m *Manager) gained(now time.Duration, c *control, ev Granted, until time.Duration) {
 	if c.holding() {
 		m.emit(Lost{Key: c.key, Epoch: c.epoch})
 		c.phase = phaseNone
 	}
 	c.epoch = ev.Grant.Epoch
-	c.floor = ev.Grant.Epoch
+	c.minEpoch = ev.Grant.Epoch
 	c.until = until
-	c.reported = ev.SentAt
+	c.reportSentAt = ev.SentAt
 	if !c.wanted {
 		m.release(now, c)
 		return
@@ -75,7 +76,7 @@
 
 func (m *Manager) refused(now time.Duration, c *control, ev Refused) {
 	current := m.answered(c, ev.SentAt, false)
-	if ev.Epoch != 0 && m.loses(ev.Refusal) {
+	if ev.Epoch != 0 && m.endsLease(ev.Refusal) {
 		m.epochRefused(now, c, EpochRefused{Key: ev.Key, Epoch: ev.Epoch})
 		return
 	}
@@ -90,8 +91,9 @@
 	m.backOff(now, c)
 }
 
-// loses reports whether a refused renewal means that the lease is gone.
-func (m *Manager) loses(refusal ports.Refusal) bool {
+// endsLease reports whether the refusal of a renewal means that the lease is no
+// longer held.
+func (m *Manager) endsLease(refusal ports.Refusal) bool {
 	switch refusal {
 	case ports.RefusedEpoch, ports.RefusedLapsed, ports.RefusedHeld:
 		return true
@@ -99,10 +101,10 @@
 	return false
 }
 
-// waitForHolder returns when to ask again for a lease that another host holds:
-// when it would run out, or at the pace of renewals, since its holder may hand
-// it over before. The jitter is added, because an earlier request would be
-// refused again.
+// waitForHolder returns how long to wait before requesting a lease that another
+// host holds: until it expires, but at most RenewEvery, since its holder may
+// hand it over earlier. The jitter is added, not subtracted, because a request
+// before the expiry would be refused again.
 func (m *Manager) waitForHolder(left time.Duration) time.Duration {
 	wait := min(max(left, m.opts.RetryMin), m.opts.RenewEvery)
 	return wait + time.Duration(m.rng.Float64()*jitterFraction*float64(wait))
@@ -114,12 +116,12 @@
 	}
 }
 
-// epochRefused ends a lease that the worker says is not current. An answer
-// about an older epoch says nothing of the present one.
+// epochRefused ends a lease whose epoch the worker refused. A refusal of an
+// earlier epoch does not affect the current one.
 func (m *Manager) epochRefused(now time.Duration, c *control, ev EpochRefused) {
 	if c.phase == phaseNone || ev.Epoch != c.epoch {
 		return
 	}
-	c.floor = c.epoch + 1
-	m.lose(now, c)
+	c.minEpoch = c.epoch + 1
+	m.endLease(now, c)
 }
--- a/lease/arbiter.go
+++ b/lease/arbiter.go
@@ -6,21 +6,21 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// Arbiter decides for one host which control leases it holds. There are two:
-// Manager leaves the decision to the worker, LogArbiter to a stream of the
-// log, for workers that check nothing.
+// Arbiter decides which control leases one host holds. There are two
+// implementations: with Manager the worker grants the lease; with LogArbiter a
+// stream of the log does, for workers that do not check epochs.
 type Arbiter interface {
-	// Step takes in one event and returns what is to be done, in order.
+	// Step handles one event and returns the commands to execute, in order.
 	Step(now time.Duration, ev Event) []Command
 	// Epoch returns the epoch under which a start may be sent at now.
 	Epoch(key Key, now time.Duration) (ports.Epoch, bool)
-	// Left returns how long starts may still be sent; zero if not at all.
+	// Left returns for how much longer starts may be sent; zero if none may be.
 	Left(key Key, now time.Duration) time.Duration
-	// Held returns the number of leases held, those under handover included.
+	// Held returns the number of leases held, including those being handed over.
 	Held(now time.Duration) int
-	// Drained reports whether a Drain has given back every lease.
+	// Drained reports whether every lease has been given up after a Drain.
 	Drained(now time.Duration) bool
-	// Next returns when the next Tick has something to do, and false if never.
+	// Next returns when the next Tick is due, and false if none is.
 	Next() (time.Duration, bool)
 }
 
--- a/lease/arbiter_log.go
+++ b/lease/arbiter_log.go
@@ -11,13 +11,13 @@
 // LogOptions configures a LogArbiter. A zero duration takes its default.
 type LogOptions struct {
 	Options
-	Stream ports.Stream // one for each zone
-	// MaxDelay bounds the time from sending a start to its arrival. Nothing at
-	// the worker refuses a start that comes later; default 2 s.
+	Stream ports.Stream // one per zone
+	// MaxDelay is the longest time from sending a start to its arrival; default
+	// 2 s. The worker does not refuse a start that arrives later.
 	MaxDelay    time.Duration
-	AppendEvery time.Duration // least time between appends; default 200 ms
-	// RefreshEvery is the time between two fences of one lease. It must be
-	// shorter than the log keeps records; default 1 h.
+	AppendEvery time.Duration // shortest interval between appends; default 200 ms
+	// RefreshEvery is the interval at which the fence of a held lease is appended
+	// again. It must be shorter than the log's retention; default 1 h.
 	RefreshEvery time.Duration
 }
 
@@ -26,21 +26,22 @@
 	defaultMaxDelay    = 2 * time.Second
 	defaultAppendEvery = 200 * time.Millisecond
 	defaultRefresh     = time.Hour
-	logPage            = 1024 // records of one read
+	logPageLimit       = 1024 // records per read
 	logRetry           = 250 * time.Millisecond
 )
 
-// AppendFences adds a group to the stream of fences. The answer is a LogEvent.
+// AppendFences appends a group to the fence stream. The answer is a LogEvent.
 type AppendFences struct{ stream.Append }
 
-// ReadFences reads the stream of fences. The answer is a LogEvent.
+// ReadFences reads the fence stream. The answer is a LogEvent.
 type ReadFences struct{ stream.Read }
 
 // LogEvent is the log's answer to an AppendFences or ReadFences.
 type LogEvent struct{ stream.Event }
 
-// Presumed says whether a holder is presumed gone. It decides who asks, never
-// who has: a fence over a living holder costs time and breaks nothing.
+// Presumed sets whether a holder is presumed dead. This only decides who claims
+// a lease, not who owns it: a fence against a living holder delays work, but two
+// hosts never use the lease at once.
 type Presumed struct {
 	Holder ident.Holder
 	Gone   bool
@@ -51,59 +52,59 @@
 func (LogEvent) isEvent()       {}
 func (Presumed) isEvent()       {}
 
-// LogArbiter decides over leases by fences in a stream of the log, for workers
-// that run whatever they are told to. The newest fence of a lease names its
-// owner; its offset is the epoch.
+// LogArbiter assigns leases by fences in a stream of the log, for workers that
+// execute every start without checking its epoch. The newest fence of a lease
+// names its owner; the offset of the fence is the epoch.
 //
-// An owner starts tasks only while it can prove that nobody has passed it: for
-// TTL*(1-Drift) after it sent a read that reached the end of the stream without
-// a fence of another. Whoever passes it reads its own fence back and waits for
-// TTL and MaxDelay from then. The owner's last proof was sent before the fence
-// was there to be read, so it ends before the wait does.
+// An owner starts tasks only while its ownership is confirmed: for TTL*(1-Drift)
+// after it sent a read that reached the end of the stream and found no fence of
+// another host. A new owner first reads its own fence back, and then waits for
+// TTL and MaxDelay. The earlier owner sent its last confirming read before that
+// fence could be read, so its confirmation expires before the wait ends.
 //
-// An owner that hands a lease over writes so after its last start was settled,
-// and its successor need not wait.
+// An owner that hands a lease over appends a release after its last start was
+// settled. The next owner then need not wait.
 type LogArbiter struct {
-	opts     LogOptions
-	inner    *Manager // talks to the workers: reports, and renewal of tasks
-	reader   stream.Reader
-	appender stream.Appender
-	fences   *fenceFold
-	claims   map[Key]*claim
-	gone     map[ident.Holder]bool
-	proven   time.Duration // SentAt of the last read that reached the end
-	known    bool          // there was one
-	draining bool
-	out      []Command
+	opts         LogOptions
+	inner        *Manager // handles the workers' grants and reports, and renews their tasks
+	reader       stream.Reader
+	appender     stream.Appender
+	fences       *fenceState
+	claims       map[Key]*claim
+	presumedDead map[ident.Holder]bool
+	confirmedAt  time.Duration // SentAt of the last read that reached the end of the stream
+	caughtUp     bool          // a read has reached the end of the stream
+	draining     bool
+	out          []Command
 }
 
 var _ Arbiter = (*LogArbiter)(nil)
 
-// NewLogArbiter returns an arbiter that has read nothing.
+// NewLogArbiter returns a LogArbiter that has not read the stream yet.
 func NewLogArbiter(opts LogOptions) *LogArbiter {
 	opts.Options = opts.Options.withDefaults()
 	opts.MaxDelay = orDefault(opts.MaxDelay, defaultMaxDelay)
 	opts.AppendEvery = orDefault(opts.AppendEvery, defaultAppendEvery)
 	opts.RefreshEvery = orDefault(opts.RefreshEvery, defaultRefresh)
 	inner := opts.Options
-	// A handover that the caller never calls idle is released when its last
-	// start must have arrived.
+	// If the caller sends no Idle, a handover must not release the lease before
+	// its last start must have arrived.
 	inner.HandoverLimit = max(inner.HandoverLimit, opts.MaxDelay)
 	return &LogArbiter{
-		opts:     opts,
-		inner:    New(inner),
-		reader:   stream.Reader{Stream: opts.Stream, Retry: logRetry, Limit: logPage},
-		appender: stream.Appender{Stream: opts.Stream, Retry: logRetry},
-		fences:   newFenceFold(),
-		claims:   map[Key]*claim{},
-		gone:     map[ident.Holder]bool{},
+		opts:         opts,
+		inner:        New(inner),
+		reader:       stream.Reader{Stream: opts.Stream, Retry: logRetry, Limit: logPageLimit},
+		appender:     stream.Appender{Stream: opts.Stream, Retry: logRetry},
+		fences:       newFenceState(),
+		claims:       map[Key]*claim{},
+		presumedDead: map[ident.Holder]bool{},
 	}
 }
 
 // Step implements Arbiter.
 func (a *LogArbiter) Step(now time.Duration, ev Event) []Command {
 	a.out = nil
-	a.lapse(now)
+	a.suspendUnconfirmed(now)
 	switch ev := ev.(type) {
 	case Want:
 		a.want(ev)
@@ -113,16 +114,16 @@
 			a.want(Want{Key: key})
 		}
 	case Presumed:
-		a.gone[ev.Holder] = ev.Gone
+		a.presumedDead[ev.Holder] = ev.Gone
 	case LogEvent:
-		a.logged(now, ev.Event)
+		a.logAnswered(now, ev.Event)
 	case Granted:
 		if c, ok := a.claims[ev.Key]; ok {
-			ev.Grant.Epoch = c.uses
+			ev.Grant.Epoch = c.innerEpoch
 			a.stepInner(now, ev)
 		}
 	case EpochRefused, Refused, ReleaseDone:
-		// These workers refuse nothing and know of no releases.
+		// These workers refuse no request and handle no releases.
 	default:
 		a.stepInner(now, ev)
 	}
@@ -146,28 +147,31 @@
 	if _, ok := a.Epoch(key, now); !ok {
 		return 0
 	}
-	return min(a.inner.Left(key, now), a.provenUntil()-now)
+	return min(a.inner.Left(key, now), a.confirmedUntil()-now)
 }
 
 // Held implements Arbiter.
 func (a *LogArbiter) Held(now time.Duration) int { return a.inner.Held(now) }
 
-// Drained implements Arbiter. Releases that are not in the log yet are not
-// waited for: the successor then waits instead.
+// Drained implements Arbiter. It does not wait for releases that are not in the
+// log yet: without them, the next owner waits instead.
 func (a *LogArbiter) Drained(now time.Duration) bool { return a.draining && a.inner.Held(now) == 0 }
 
-// Next implements Arbiter: a read is always open or about to be sent.
+// Next implements Arbiter. A Tick is always due, because a read is always in
+// flight or about to be sent.
 func (a *LogArbiter) Next() (time.Duration, bool) { return 0, true }
 
-func (a *LogArbiter) provenUntil() time.Duration { return a.proven + a.opts.Span() }
+func (a *LogArbiter) confirmedUntil() time.Duration { return a.confirmedAt + a.opts.Span() }
 
-// proves reports whether nobody can have passed this host's fences unseen.
-func (a *LogArbiter) proves(now time.Duration) bool { return a.known && now < a.provenUntil() }
+// confirmed reports whether this host would have read any newer fence of another
+// host that may be in use.
+func (a *LogArbiter) confirmed(now time.Duration) bool { return a.caughtUp && now < a.confirmedUntil() }
 
-// owns reports whether starts may be sent as far as the log goes.
+// owns reports whether the log permits starts: this host owns the lease, the
+// fence's wait is over and the ownership is confirmed.
 func (a *LogArbiter) owns(now time.Duration, key Key) bool {
 	c, ok := a.claims[key]
-	return ok && c.epoch != 0 && now >= c.usableAt && a.proves(now)
+	return ok && c.epoch != 0 && now >= c.usableAt && a.confirmed(now)
 }
 
 func (a *LogArbiter) epochOf(key Key) ports.Epoch {
--- a/lease/claim_log.go
+++ b/lease/claim_log.go
@@ -6,37 +6,38 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// claim is what a LogArbiter wants and has of one lease.
+// claim is the wanted and the actual state of one lease in a LogArbiter.
 type claim struct {
 	key    Key
 	wanted bool
 
-	fence   bool        // a fence is to be written
-	release ports.Epoch // a release of this epoch is to be written; zero for none
+	writeFence   bool        // a fence is to be appended
+	releaseEpoch ports.Epoch // epoch whose release is to be appended; zero for none
 
-	writeAt time.Duration // not written again before this
+	nextWrite time.Duration // earliest time of the next append
 
-	epoch    ports.Epoch   // the own fence in force; zero for none
-	usableAt time.Duration // when it may be used
-	fencedAt time.Duration // when it was read back, or written again
+	epoch    ports.Epoch   // this host's current fence; zero for none
+	usableAt time.Duration // the fence may be used from this time on
+	fencedAt time.Duration // when the fence was read back, or last appended again
 
-	uses    ports.Epoch // times that it was put to use: the inner manager's epoch
-	active  bool        // the inner manager was told to hold the lease
-	handing bool        // the inner manager hands it over
-	// settledAt is when no start under the fence can be on its way any more.
-	// A fence whose use was broken off may only be released after it.
+	innerEpoch  ports.Epoch // epoch of the inner manager: how often the lease was activated
+	active      bool        // the inner manager should hold the lease
+	handingOver bool        // the inner manager is handing the lease over
+	// settledAt is when no start under the fence can be in flight any more. A
+	// fence whose use was suspended may only be released after it.
 	settledAt time.Duration
 }
 
-// stepInner lets the inner manager work. Its own epochs count the times that a
-// lease was put to use; callers see those of the fences.
+// stepInner passes an event to the inner manager. The inner manager's epochs
+// count the activations of a lease; callers see the epochs of the fences.
 func (a *LogArbiter) stepInner(now time.Duration, ev Event) {
-	a.pass(now, a.inner.Step(now, ev))
+	a.forward(now, a.inner.Step(now, ev))
 }
 
-// pass hands the inner manager's commands on. A release is of no interest to
-// workers that check nothing; it is written into the log instead.
-func (a *LogArbiter) pass(now time.Duration, cmds []Command) {
+// forward returns the inner manager's commands to the caller, with the epochs of
+// the fences. A release is appended to the log instead, because these workers
+// do not track leases.
+func (a *LogArbiter) forward(now time.Duration, cmds []Command) {
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case Release:
@@ -60,21 +61,21 @@
 	}
 }
 
-// released takes in that the inner manager gave a lease back. The release of a
-// grant that came too late to be wanted says nothing of the starts that were
-// sent under the fence.
+// released handles the inner manager's release of a lease. Only the release that
+// ends a handover is appended to the log: the release of an unwanted late grant
+// does not show that the starts sent under the fence have been settled.
 func (a *LogArbiter) released(ev Release) {
 	c, ok := a.claims[ev.Key]
-	if !ok || !c.handing || ev.Epoch != c.uses {
+	if !ok || !c.handingOver || ev.Epoch != c.innerEpoch {
 		return
 	}
-	c.handing = false
-	c.release = c.epoch
+	c.handingOver = false
+	c.releaseEpoch = c.epoch
 }
 
-// lapse stops the use of every lease when the proof has run out.
-func (a *LogArbiter) lapse(now time.Duration) {
-	if a.proves(now) {
+// suspendUnconfirmed suspends every lease once the confirmation has expired.
+func (a *LogArbiter) suspendUnconfirmed(now time.Duration) {
+	if a.confirmed(now) {
 		return
 	}
 	for _, key := range sortedKeys(a.claims) {
@@ -82,23 +83,23 @@
 	}
 }
 
-// suspend breaks off the use of a lease. Starts may be on their way.
+// suspend stops the use of a lease without a handover. Starts may be in flight.
 func (a *LogArbiter) suspend(now time.Duration, c *claim) {
-	if !c.active && !c.handing {
+	if !c.active && !c.handingOver {
 		return
 	}
 	c.active = false
-	c.handing = false
+	c.handingOver = false
 	c.settledAt = now + a.opts.MaxDelay
-	a.pass(now, a.inner.suspend(now, c.key))
+	a.forward(now, a.inner.suspend(now, c.key))
 }
 
-// advance does what is due at now.
+// advance reconciles every claim and sends the reads and appends due at now.
 func (a *LogArbiter) advance(now time.Duration) {
 	for _, key := range sortedKeys(a.claims) {
 		c := a.claims[key]
-		a.follow(now, c)
-		a.decide(now, c)
+		a.reconcileOwner(now, c)
+		a.reconcileWanted(now, c)
 	}
 	if cmd, ok := a.reader.Next(now, a.opts.RenewEvery/2); ok {
 		a.out = append(a.out, ReadFences{cmd})
@@ -106,65 +107,66 @@
 	a.sendRecords(now)
 }
 
-// follow brings a claim in line with what the log says of its owner.
-func (a *LogArbiter) follow(now time.Duration, c *claim) {
+// reconcileOwner updates a claim to the lease's owner according to the log.
+func (a *LogArbiter) reconcileOwner(now time.Duration, c *claim) {
 	o := a.fences.owners[c.key]
 	if c.epoch != 0 && (!o.held || o.holder != a.opts.Self || o.epoch != c.epoch) {
 		a.suspend(now, c)
 		c.epoch = 0
-		c.release = 0
-		c.writeAt = now
+		c.releaseEpoch = 0
+		c.nextWrite = now
 	}
 	if o.held && o.holder == a.opts.Self && c.epoch == 0 {
 		c.epoch = o.epoch
-		c.usableAt = now + a.waitFor(o)
-		c.writeAt = now
+		c.usableAt = now + a.fenceWait(o)
+		c.nextWrite = now
 		c.fencedAt = now
 	}
 }
 
-// waitFor is how long a fresh fence must wait: for the proof of whoever had the
-// lease before to run out and its last starts to arrive, unless it has written
-// that there will be none.
-func (a *LogArbiter) waitFor(o owner) time.Duration {
-	if o.free {
+// fenceWait returns how long a new fence must wait before use: until the previous
+// owner's confirmation has expired and its last starts have arrived. It is zero
+// if the previous owner has released the lease.
+func (a *LogArbiter) fenceWait(o owner) time.Duration {
+	if o.released {
 		return 0
 	}
 	return a.opts.TTL + a.opts.MaxDelay
 }
 
-// decide turns what is wanted into records, and into use.
-func (a *LogArbiter) decide(now time.Duration, c *claim) {
+// reconcileWanted schedules the fence or release of a claim, and activates it or
+// starts its handover, as wanted.
+func (a *LogArbiter) reconcileWanted(now time.Duration, c *claim) {
 	if c.epoch == 0 {
-		c.fence = c.wanted && a.proves(now) && a.claimable(c.key)
+		c.writeFence = c.wanted && a.confirmed(now) && a.claimable(c.key)
 		return
 	}
-	if c.handing && !a.inner.holds(c.key) {
-		c.handing = false // the worker did not answer; the starts sent to it may be on their way
+	if c.handingOver && !a.inner.holds(c.key) {
+		c.handingOver = false // the worker did not answer; starts sent to it may be in flight
 		c.settledAt = now + a.opts.MaxDelay
 	}
-	c.fence = c.wanted && c.release == 0 && now >= c.fencedAt+a.opts.RefreshEvery
+	c.writeFence = c.wanted && c.releaseEpoch == 0 && now >= c.fencedAt+a.opts.RefreshEvery
 	switch {
-	case c.wanted && !c.active && !c.handing && c.release == 0 && a.owns(now, c.key):
+	case c.wanted && !c.active && !c.handingOver && c.releaseEpoch == 0 && a.owns(now, c.key):
 		c.active = true
-		c.uses++
+		c.innerEpoch++
 		a.stepInner(now, Want{Key: c.key, Wanted: true})
 	case !c.wanted && c.active:
 		c.active = false
-		c.handing = true
+		c.handingOver = true
 		a.stepInner(now, Want{Key: c.key, Wanted: false})
-	case !c.wanted && !c.handing && c.release == 0 && now >= max(c.settledAt, c.usableAt):
-		// Not before usableAt: whoever reads the release takes it to mean that the
-		// owners before this one have been waited out as well.
-		c.release = c.epoch
+	case !c.wanted && !c.handingOver && c.releaseEpoch == 0 && now >= max(c.settledAt, c.usableAt):
+		// Not before usableAt: the next owner does not wait after a release, so the
+		// starts of all owners before this one must have arrived as well.
+		c.releaseEpoch = c.epoch
 	}
 }
 
-// claimable reports whether a fence would take the lease from nobody that is
-// known to be there.
+// claimable reports whether the lease has no owner, or its owner is presumed
+// dead or is an incarnation of this host.
 func (a *LogArbiter) claimable(key Key) bool {
 	o := a.fences.owners[key]
-	return !o.held || a.gone[o.holder] || o.holder.Host == a.opts.Self.Host
+	return !o.held || a.presumedDead[o.holder] || o.holder.Host == a.opts.Self.Host
 }
 
 // holds reports whether the lease is held or being handed over.
@@ -173,13 +175,13 @@
 	return ok && c.holding()
 }
 
-// suspend ends a lease without giving it back to the worker.
+// suspend ends a lease without releasing it at the worker.
 func (m *Manager) suspend(now time.Duration, key Key) []Command {
 	m.out = nil
 	if c, ok := m.controls[key]; ok {
 		c.wanted = false
 		if c.holding() {
-			m.lose(now, c)
+			m.endLease(now, c)
 		}
 		m.advance(now, c)
 	}
--- a/lease/control.go
+++ b/lease/control.go
@@ -6,50 +6,50 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// phase is the state of one control lease as this host sees it.
+// phase is the state of one control lease as known to this host.
 type phase uint8
 
 const (
 	phaseNone      phase = iota // not held; acquired if wanted
 	phaseHeld                   // starts may be sent until control.until
 	phaseHandover               // held and renewed, but no start may be sent
-	phaseReleasing              // given up; the release may not have arrived yet
+	phaseReleasing              // given up; the release may not have reached the worker yet
 )
 
-// control is the state of one lease.
+// control is the state of one control lease.
 type control struct {
 	key    Key
 	phase  phase
 	wanted bool
 
 	epoch ports.Epoch
-	// floor is the lowest epoch that may be used. Epochs below it were
-	// released, refused or replaced.
-	floor    ports.Epoch
-	until    time.Duration // end of use, counted from when the granted request was sent
-	reported time.Duration // SentAt of the newest report passed on
-
-	pending    bool          // a request is unanswered
-	sentAt     time.Duration // of the last request
-	next       time.Duration // when the next request is due
-	failures   int           // in a row
-	handoverBy time.Duration // when a handover stops waiting for Idle
+	// minEpoch is the lowest epoch that may be used. Lower epochs were released,
+	// refused or replaced.
+	minEpoch     ports.Epoch
+	until        time.Duration // the lease may be used before this; Span after SentAt of the grant
+	reportSentAt time.Duration // SentAt of the newest report passed to the caller
+
+	pending          bool          // a request is in flight
+	sentAt           time.Duration // of the last request
+	next             time.Duration // when the next request is due
+	failures         int           // in a row
+	handoverDeadline time.Duration // a handover waits no longer for Idle
 
 	acks     []string // ended tasks that the worker may forget
-	acksSent int      // how many of acks the pending request carries
+	acksSent int      // number of acks in the pending request
 
-	wake  time.Duration // when advance has something to do
-	index int           // in the heap of wakes, or unscheduled
+	wake  time.Duration // when advance is due next
+	index int           // in Manager.wakes, or unscheduled
 }
 
-// unscheduled is the heap index of a control outside the heap.
+// unscheduled is the index of a control that is not in the heap.
 const unscheduled = -1
 
-// holding reports whether the worker counts this host as the holder, as far
-// as this host knows.
+// holding reports whether the lease is held or being handed over. It does not
+// check whether the lease has expired.
 func (c *control) holding() bool { return c.phase == phaseHeld || c.phase == phaseHandover }
 
-// wakeAt returns when time alone changes something.
+// wakeAt returns when the next timeout, request or expiry is due.
 func (c *control) wakeAt(opts Options) time.Duration {
 	request := c.next
 	if c.pending {
@@ -59,7 +59,7 @@
 	case phaseHeld:
 		return min(request, c.until)
 	case phaseHandover:
-		return min(request, c.until, c.handoverBy)
+		return min(request, c.until, c.handoverDeadline)
 	case phaseReleasing:
 		return min(c.next, c.until)
 	default:
@@ -70,8 +70,8 @@
 	}
 }
 
-// wakeHeap orders controls by wake, then by key, so that equal times come in
-// the same order in every run. It implements heap.Interface.
+// wakeHeap orders controls by wake, then by key, so that equal times have the
+// same order in every run. It implements heap.Interface.
 type wakeHeap []*control
 
 func (h wakeHeap) Len() int { return len(h) }
--- a/lease/event.go
+++ b/lease/event.go
@@ -7,23 +7,24 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// Key names one control lease: a class of a worker.
+// Key identifies a control lease by worker and lease class.
 type Key struct {
 	Worker ident.WorkerID
 	Class  ports.LeaseClass
 }
 
-// Event is something that a Manager is told.
+// Event is an input of an Arbiter.
 type Event interface{ isEvent() }
 
-// Want says whether this host should hold a lease. Not wanting a held lease
-// starts its handover.
+// Want sets whether this host should hold a lease. If the lease is held and no
+// longer wanted, its handover begins.
 type Want struct {
 	Key
 	Wanted bool
 }
 
-// Granted is a worker's grant. SentAt is that of the command it answers.
+// Granted is a worker's grant. SentAt is copied from the command that it
+// answers.
 type Granted struct {
 	Key
 	SentAt time.Duration
@@ -36,55 +37,57 @@
 	SentAt  time.Duration
 	Epoch   ports.Epoch // of the command; zero for an Acquire
 	Refusal ports.Refusal
-	Left    time.Duration // for ports.RefusedHeld
+	Left    time.Duration // of the other host's lease, for ports.RefusedHeld
 }
 
-// Failed says that an Acquire or Renew was not sent or got no answer.
+// Failed reports that an Acquire or Renew was not sent or got no answer.
 type Failed struct {
 	Key
 	SentAt time.Duration
 }
 
-// EpochRefused says that a worker refused a start or control because its
-// epoch was not current or its lease had lapsed.
+// EpochRefused reports that a worker refused a start or control because its
+// epoch was not current or its lease had expired.
 type EpochRefused struct {
 	Key
 	Epoch ports.Epoch
 }
 
-// Acked says that the holder has dealt with these ended tasks, so that the
-// worker may forget them.
+// Acked reports that the holder has processed the ends of these tasks. The next
+// requests pass the IDs on to the worker, which may then forget the tasks.
 type Acked struct {
 	Key
 	IDs []string
 }
 
-// Hasten asks for a report of the worker at a time, sooner than the next
-// renewal would bring it: a task is expected to end by then.
+// Hasten moves the next renewal of a held lease, and with it the worker's
+// report, forward to At if it is due later. The caller sends it when a task is
+// expected to end by then.
 type Hasten struct {
 	Key
 	At time.Duration
 }
 
-// Idle says that no start or control under this lease is on its way, so that
-// a handover may release it. Tasks may still run.
+// Idle reports that no start or control under this lease is in flight, so a
+// handover may release it. Tasks may still be running.
 type Idle struct {
 	Key
 }
 
-// ReleaseDone is the result of a Release. Done is false if it may not have
-// reached the worker.
+// ReleaseDone is the result of a Release. Done is false if the Release may not
+// have reached the worker.
 type ReleaseDone struct {
 	Key
 	Epoch ports.Epoch
 	Done  bool
 }
 
-// Drain starts the handover of every lease and ends all acquiring: the planned
-// stop of this host.
+// Drain starts the handover of every lease and stops all acquiring, for the
+// planned stop of this host.
 type Drain struct{}
 
-// Tick lets time pass.
+// Tick advances the time: timed-out requests and expired leases end, and due
+// requests are sent.
 type Tick struct{}
 
 func (Want) isEvent()         {}
--- a/lease/fence_log.go
+++ b/lease/fence_log.go
@@ -9,37 +9,40 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// fenceRecord is one record of the stream of fences.
+// fenceRecord is one record of the fence stream: the claims and releases of one
+// holder. A fence claims a lease; its offset is the fencing token (epoch).
 type fenceRecord struct {
 	Holder   ident.Holder     `json:"h"`
-	Fences   []Key            `json:"f,omitempty"` // leases that the holder takes
-	Releases []releasedRecord `json:"r,omitempty"` // and gives back
+	Fences   []Key            `json:"f,omitempty"` // leases that the holder claims
+	Releases []releasedRecord `json:"r,omitempty"` // leases that it releases
 }
 
-// releasedRecord gives a lease back. It is void unless its epoch is in force.
+// releasedRecord releases a lease. It has no effect unless its epoch is the
+// current one.
 type releasedRecord struct {
 	Key   Key         `json:"k"`
 	Epoch ports.Epoch `json:"e"`
 }
 
-// owner is what the log says of one lease.
+// owner is the ownership of one lease according to the log.
 type owner struct {
-	held   bool
-	holder ident.Holder
-	epoch  ports.Epoch // offset of the fence
-	free   bool        // the owner before had given the lease back
+	held     bool
+	holder   ident.Holder
+	epoch    ports.Epoch // offset of the fence
+	released bool        // the previous owner had released the lease
 }
 
-// fenceFold is the state of the stream of fences: the newest fence counts.
-type fenceFold struct {
+// fenceState is the replayed state of the fence stream. The newest fence of a
+// lease determines its owner.
+type fenceState struct {
 	owners map[Key]owner
 }
 
-func newFenceFold() *fenceFold { return &fenceFold{owners: map[Key]owner{}} }
+func newFenceState() *fenceState { return &fenceState{owners: map[Key]owner{}} }
 
-// add folds one record and returns its writer. A record that cannot be read
-// changes nothing, on every host alike.
-func (f *fenceFold) add(rec ports.Record) ident.Holder {
+// apply applies one record and returns its writer. A record that cannot be
+// decoded is ignored, on every host alike.
+func (f *fenceState) apply(rec ports.Record) ident.Holder {
 	var body fenceRecord
 	if json.Unmarshal(rec.Data, &body) != nil || body.Holder.IsZero() {
 		return ident.Holder{}
@@ -47,23 +50,23 @@
 	for _, r := range body.Releases {
 		o := f.owners[r.Key]
 		if o.held && o.holder == body.Holder && o.epoch == r.Epoch {
-			f.owners[r.Key] = owner{free: true}
+			f.owners[r.Key] = owner{released: true}
 		}
 	}
 	for _, key := range body.Fences {
 		o := f.owners[key]
 		if o.held && o.holder == body.Holder {
-			continue // written again; the ownership goes on
+			continue // a refresh; ownership and epoch stay
 		}
 		f.owners[key] = owner{
-			held: true, holder: body.Holder, epoch: ports.Epoch(rec.Offset), free: !o.held && o.free,
+			held: true, holder: body.Holder, epoch: ports.Epoch(rec.Offset), released: !o.held && o.released,
 		}
 	}
 	return body.Holder
 }
 
-// logged takes in an answer of the log.
-func (a *LogArbiter) logged(now time.Duration, ev stream.Event) {
+// logAnswered handles an answer of the log.
+func (a *LogArbiter) logAnswered(now time.Duration, ev stream.Event) {
 	switch ev := ev.(type) {
 	case stream.PageRead:
 		a.pageRead(ev)
@@ -76,39 +79,41 @@
 	}
 }
 
-// pageRead folds a page and renews the proof.
+// pageRead applies a page, and confirms ownership if the page reached the end of
+// the stream.
 //
-// It guards against a host that was away for longer than the log keeps its
-// records: what expired may have been a fence, so nothing that was known
-// counts any more, and every lease is waited for as if its owner were alive.
+// It guards against a host that read nothing for longer than the log retains
+// records: the expired ones may contain a fence. The replayed state is dropped,
+// and every lease is waited for as if its owner were alive.
 func (a *LogArbiter) pageRead(ev stream.PageRead) {
 	ans := a.reader.Page(ev)
 	if ans.Stale {
 		return
 	}
 	if ans.Expired {
-		a.fences = newFenceFold()
-		a.known = false
+		a.fences = newFenceState()
+		a.caughtUp = false
 		a.reader.Seek(ev.Page.First - 1)
 		return
 	}
 	for _, rec := range ans.Records {
-		writer := a.fences.add(rec)
-		if a.known {
-			// Whoever writes now is not gone. Without this, two hosts that presume
-			// each other gone would take the lease from each other for ever.
-			delete(a.gone, writer)
+		writer := a.fences.apply(rec)
+		if a.caughtUp {
+			// A holder that writes is alive. Without this, two hosts that presume each
+			// other dead would keep taking the lease over from each other.
+			delete(a.presumedDead, writer)
 		}
 		a.reader.Take(rec.Offset)
 	}
 	if ans.AtEnd {
-		a.proven = ans.SentAt
-		a.known = true
+		a.confirmedAt = ans.SentAt
+		a.caughtUp = true
 	}
 }
 
-// sendRecords writes all that is to be written as one record. What came of it
-// is read back; if it is not, it is written again after RequestTimeout.
+// sendRecords appends all due fences and releases as one record. The result is
+// read back from the stream; a fence or release that has not been read back is
+// appended again after RequestTimeout.
 func (a *LogArbiter) sendRecords(now time.Duration) {
 	if !a.appender.Ready(now, a.opts.AppendEvery) {
 		return
@@ -116,15 +121,15 @@
 	rec := fenceRecord{Holder: a.opts.Self}
 	for _, key := range sortedKeys(a.claims) {
 		c := a.claims[key]
-		if !c.fence && c.release == 0 || now < c.writeAt {
+		if !c.writeFence && c.releaseEpoch == 0 || now < c.nextWrite {
 			continue
 		}
-		c.writeAt = now + a.opts.RequestTimeout
-		if c.fence {
+		c.nextWrite = now + a.opts.RequestTimeout
+		if c.writeFence {
 			rec.Fences = append(rec.Fences, key)
 			c.fencedAt = now
 		} else {
-			rec.Releases = append(rec.Releases, releasedRecord{Key: key, Epoch: c.release})
+			rec.Releases = append(rec.Releases, releasedRecord{Key: key, Epoch: c.releaseEpoch})
 		}
 	}
 	if len(rec.Fences)+len(rec.Releases) == 0 {
@@ -132,7 +137,7 @@
 	}
 	data, err := json.Marshal(rec)
 	if err != nil {
-		return // names and numbers can always be rendered
+		return // cannot happen: strings and numbers always marshal
 	}
 	a.out = append(a.out, AppendFences{a.appender.Send(now, [][]byte{data})})
 }
--- a/lease/handover.go
+++ b/lease/handover.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// handOver stops the starts of a held lease. It is released once the caller
-// says that none is on its way, or after HandoverLimit: a start that arrives
-// after the release is refused by its epoch.
+// handOver stops the starts under a held lease. The lease is released once the
+// caller reports that none is in flight, or after HandoverLimit: the worker
+// refuses a start that arrives after the release, because of its epoch.
 func (m *Manager) handOver(now time.Duration, c *control) {
 	if c.phase != phaseHeld {
 		return
 	}
 	c.phase = phaseHandover
-	c.handoverBy = now + m.opts.HandoverLimit
+	c.handoverDeadline = now + m.opts.HandoverLimit
 	m.emit(Quiesce{Key: c.key, Epoch: c.epoch})
 }
 
@@ -20,14 +20,14 @@
 	}
 }
 
-// release gives up the lease for good: its epoch can never be used again, not
-// even by the late grant of a renewal that was sent before.
+// release gives up the lease. Its epoch cannot be used again, even if the grant
+// of an earlier renewal arrives late.
 func (m *Manager) release(now time.Duration, c *control) {
 	if c.holding() {
 		m.emit(Lost{Key: c.key, Epoch: c.epoch})
 	}
 	c.phase = phaseReleasing
-	c.floor = c.epoch + 1
+	c.minEpoch = c.epoch + 1
 	m.sendRelease(now, c)
 }
 
@@ -44,5 +44,5 @@
 		m.backOff(now, c)
 		return
 	}
-	m.lose(now, c)
+	m.endLease(now, c)
 }
--- a/lease/log_history_test.go
+++ b/lease/log_history_test.go
@@ -31,7 +31,7 @@
 			Stream:   "leases/z",
 			MaxDelay: testDelay,
 		})
-		arb.reader.Limit = rapid.SampledFrom([]int{1, logPage}).Draw(t, "records of a page")
+		arb.reader.Limit = rapid.SampledFrom([]int{1, logPageLimit}).Draw(t, "records of a page")
 		h.nodes = append(h.nodes, &node{arb: arb, holder: holder, rate: drawRate(t), idles: i != 0})
 	}
 	lastUse := map[Key]use{}
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// Manager holds the control leases of one host. It is not safe for concurrent
+// Manager manages the control leases of one host. It is not safe for concurrent
 // use.
 type Manager struct {
 	opts     Options
@@ -32,29 +32,29 @@
 	}
 }
 
-// Step takes in one event and returns what is to be done, in order. now must
-// not decrease from step to step.
+// Step handles one event and returns the commands to execute, in order. now
+// must not decrease from call to call.
 func (m *Manager) Step(now time.Duration, ev Event) []Command {
 	m.out = nil
 	switch ev := ev.(type) {
 	case Want:
 		m.want(now, ev)
 	case Granted:
-		m.with(now, ev.Key, func(c *control) { m.granted(now, c, ev) })
+		m.withControl(now, ev.Key, func(c *control) { m.granted(now, c, ev) })
 	case Refused:
-		m.with(now, ev.Key, func(c *control) { m.refused(now, c, ev) })
+		m.withControl(now, ev.Key, func(c *control) { m.refused(now, c, ev) })
 	case Failed:
-		m.with(now, ev.Key, func(c *control) { m.failed(now, c, ev) })
+		m.withControl(now, ev.Key, func(c *control) { m.failed(now, c, ev) })
 	case EpochRefused:
-		m.with(now, ev.Key, func(c *control) { m.epochRefused(now, c, ev) })
+		m.withControl(now, ev.Key, func(c *control) { m.epochRefused(now, c, ev) })
 	case Acked:
-		m.with(now, ev.Key, func(c *control) { c.acks = append(c.acks, ev.IDs...) })
+		m.withControl(now, ev.Key, func(c *control) { c.acks = append(c.acks, ev.IDs...) })
 	case Hasten:
-		m.with(now, ev.Key, func(c *control) { m.hasten(c, ev.At) })
+		m.withControl(now, ev.Key, func(c *control) { m.hasten(c, ev.At) })
 	case Idle:
-		m.with(now, ev.Key, func(c *control) { m.idle(now, c) })
+		m.withControl(now, ev.Key, func(c *control) { m.idle(now, c) })
 	case ReleaseDone:
-		m.with(now, ev.Key, func(c *control) { m.releaseDone(now, c, ev) })
+		m.withControl(now, ev.Key, func(c *control) { m.releaseDone(now, c, ev) })
 	case Drain:
 		m.drain(now)
 	case Tick:
@@ -63,7 +63,7 @@
 	return m.out
 }
 
-// hasten brings the next renewal of a held lease forward.
+// hasten moves the next renewal of a held lease forward to at.
 func (m *Manager) hasten(c *control, at time.Duration) {
 	if c.phase == phaseHeld && at < c.next {
 		c.next = at
@@ -71,12 +71,12 @@
 }
 
 // Epoch returns the epoch under which a start may be sent at now. It reports
-// false when the lease is not held, is being handed over, or may have run out
-// on the worker.
+// false when the lease is not held, is being handed over, or may have expired
+// at the worker.
 //
-// It guards against a holder that was paused past its lease: such a holder
-// wakes with a later now, finds the lease used up by its own clock and starts
-// nothing, although no event told it so.
+// The check of now guards against a holder that was paused until after its
+// lease expired: when it resumes, no event has reported the expiry yet, but now
+// is past the end of the lease by its own clock, and it starts nothing.
 func (m *Manager) Epoch(key Key, now time.Duration) (ports.Epoch, bool) {
 	c, ok := m.controls[key]
 	if !ok || c.phase != phaseHeld || now >= c.until {
@@ -85,8 +85,8 @@
 	return c.epoch, true
 }
 
-// Left returns how long the lease may still be used for starts: zero if not
-// at all.
+// Left returns for how much longer starts may be sent under the lease; zero if
+// none may be.
 func (m *Manager) Left(key Key, now time.Duration) time.Duration {
 	if _, ok := m.Epoch(key, now); !ok {
 		return 0
@@ -94,8 +94,8 @@
 	return m.controls[key].until - now
 }
 
-// Held returns the number of leases held at now, those under handover
-// included.
+// Held returns the number of leases held at now, including those being handed
+// over.
 func (m *Manager) Held(now time.Duration) int {
 	n := 0
 	for _, c := range m.controls {
@@ -106,12 +106,12 @@
 	return n
 }
 
-// Drained reports whether a Drain has given back every lease.
+// Drained reports whether every lease has been given up after a Drain.
 func (m *Manager) Drained(now time.Duration) bool {
 	return m.draining && m.Held(now) == 0
 }
 
-// Next returns when the next Tick has something to do, and false if never.
+// Next returns when the next Tick is due, and false if none is.
 func (m *Manager) Next() (time.Duration, bool) {
 	if len(m.wakes) == 0 {
 		return 0, false
@@ -121,16 +121,16 @@
 
 func (m *Manager) emit(c Command) { m.out = append(m.out, c) }
 
-// with runs a handler on the control of a key, between two looks at the clock:
-// the first lets a lease end that ran out before the event, the second sends
-// what the event made due. An event for an unknown key is of a lease that was
-// given up long ago.
-func (m *Manager) with(now time.Duration, key Key, handle func(*control)) {
+// withControl runs a handler on the control of a key. Before the handler it
+// ends the lease if it has expired, afterwards it sends what is due. Events for
+// an unknown key are ignored: its control was removed, because the lease is not
+// wanted and a grant could no longer be used.
+func (m *Manager) withControl(now time.Duration, key Key, handle func(*control)) {
 	c, ok := m.controls[key]
 	if !ok {
 		return
 	}
-	m.lapse(now, c)
+	m.expireIfDue(now, c)
 	handle(c)
 	m.advance(now, c)
 }
@@ -144,7 +144,7 @@
 		c = &control{key: ev.Key, next: now, index: unscheduled}
 		m.controls[ev.Key] = c
 	}
-	m.lapse(now, c)
+	m.expireIfDue(now, c)
 	c.wanted = ev.Wanted && !m.draining
 	if !c.wanted {
 		m.handOver(now, c)
@@ -162,12 +162,12 @@
 func (m *Manager) tick(now time.Duration) {
 	for len(m.wakes) > 0 && m.wakes[0].wake <= now {
 		c := m.wakes[0]
-		m.lapse(now, c)
+		m.expireIfDue(now, c)
 		m.advance(now, c)
 	}
 }
 
-// sortedKeys lists the keys of a map in order.
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[Key]V) []Key {
 	keys := make([]Key, 0, len(m))
 	for key := range m {
--- a/lease/options.go
+++ b/lease/options.go
@@ -8,20 +8,20 @@
 
 // Options configures a Manager. A zero duration takes its default.
 type Options struct {
-	Self ident.Holder // the life of the host that holds the leases
+	Self ident.Holder // this host and its incarnation
 	Seed uint64       // of the jitter
 
-	TTL     time.Duration // control lease; default 6 s
-	TaskTTL time.Duration // how long tasks outlive the last renewal; default 30 s
-	// Drift bounds how much faster one process's clock may run than another's,
-	// as a fraction; default 0.02.
+	TTL     time.Duration // of a control lease; default 6 s
+	TaskTTL time.Duration // how long tasks keep running after the last renewal; default 30 s
+	// Drift is the most by which one process's clock may run faster than
+	// another's, as a fraction; default 0.02.
 	Drift float64
 
-	RenewEvery     time.Duration // between renewals; default TTL/3
-	RequestTimeout time.Duration // an unanswered request is given up after this; default TTL/3
-	RetryMin       time.Duration // first wait after a failure; doubles up to RenewEvery; default 100 ms
-	// HandoverLimit is how long a handover waits for the starts in flight to be
-	// settled before it releases the lease all the same; default 3 s.
+	RenewEvery     time.Duration // interval between renewals; default TTL/3
+	RequestTimeout time.Duration // a request without an answer times out after this; default TTL/3
+	RetryMin       time.Duration // first backoff after a failure; doubles up to RenewEvery; default 100 ms
+	// HandoverLimit is how long a handover waits for the outcome of the starts in
+	// flight before it releases the lease anyway; default 3 s.
 	HandoverLimit time.Duration
 }
 
@@ -33,16 +33,16 @@
 	defaultRetryMin      = 100 * time.Millisecond
 	defaultHandoverLimit = 3 * time.Second
 
-	// renewalsPerTTL leaves two renewals that may be lost before the lease is.
+	// renewalsPerTTL is 3: two renewals may be lost before the lease expires.
 	renewalsPerTTL = 3
-	// jitterFraction spreads renewals and retries, so that hosts that start
-	// together do not stay in step.
+	// jitterFraction spreads renewals and retries. Without it, hosts that start
+	// together would keep sending their requests at the same moments.
 	jitterFraction = 0.1
-	// maxAcksPerRequest bounds the size of a renewal.
+	// maxAcksPerRequest limits the size of a renewal.
 	maxAcksPerRequest = 64
 )
 
-// withDefaults fills in what is zero.
+// withDefaults returns o with its zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	o.TTL = orDefault(o.TTL, DefaultTTL)
 	o.TaskTTL = orDefault(o.TaskTTL, DefaultTaskTTL)
@@ -63,8 +63,8 @@
 	return d
 }
 
-// Span is how long after sending a granted request its lease may be used:
-// TTL*(1-Drift).
+// Span returns how long a lease may be used, counted from when its granted
+// request was sent: TTL*(1-Drift).
 func (o Options) Span() time.Duration {
 	return o.TTL - time.Duration(float64(o.TTL)*o.Drift)
 }
