--- a/lease/log_history_test.go
+++ b/lease/log_history_test.go
@@ -14,10 +14,10 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-const testDelay = 2 * time.Second // longest time that a start is on its way
+const testDelay = 2 * time.Second // longest time that a start is in flight
 
-// logHistory builds a history over the log arbiter. Its workers grant
-// everything to everybody.
+// logHistory returns a history of hosts with LogArbiter. Its workers grant every
+// request.
 func logHistory(t *rapid.T) *history {
 	h := &history{t: t}
 	log := standin.NewLogState(standin.LogConfig{KeepRecords: rapid.SampledFrom([]int{0, 3}).Draw(t, "records kept")})
@@ -32,75 +32,75 @@
 			MaxDelay: testDelay,
 		})
 		arb.reader.Limit = rapid.SampledFrom([]int{1, logPageLimit}).Draw(t, "records of a page")
-		h.nodes = append(h.nodes, &node{arb: arb, holder: holder, rate: drawRate(t), idles: i != 0})
+		h.nodes = append(h.nodes, &node{arb: arb, holder: holder, rate: drawRate(t), answersQuiesce: i != 0})
 	}
 	lastUse := map[Key]use{}
-	h.carry = func(h *history, n *node, cmd Command) { carryToLog(h, log, n, cmd, lastUse) }
+	h.send = func(h *history, n *node, cmd Command) { sendToLog(h, log, n, cmd, lastUse) }
 	h.check = func(h *history) {
-		h.atMostOneStarter()
-		h.startsSettled(lastUse)
+		h.checkSingleStarter()
+		h.checkStartsSettled(lastUse)
 	}
 	return h
 }
 
-// use is when a host could last start on a worker.
+// use is the host that last could start tasks on a worker, and when.
 type use struct {
 	holder ident.Holder
 	at     time.Duration
 }
 
-// startsSettled fails if a host may start on a worker while a start of another
-// may still be on its way to it.
-func (h *history) startsSettled(last map[Key]use) {
+// checkStartsSettled fails if a host may start tasks on a worker while a start of
+// another host may still be in flight to it.
+func (h *history) checkStartsSettled(last map[Key]use) {
 	for _, key := range h.keys {
 		for _, n := range h.nodes {
 			if _, ok := n.arb.Epoch(key, n.local(h.Now())); !ok {
 				continue
 			}
 			if before, ok := last[key]; ok && before.holder != n.holder && h.Now() < before.at+testDelay {
-				h.t.Fatalf("at %v: %v may start on %v, %v could at %v", h.Now(), n.holder, key, before.holder, before.at)
+				h.t.Fatalf("at %v: %v may start tasks on %v, but %v could until %v", h.Now(), n.holder, key, before.holder, before.at)
 			}
 			last[key] = use{holder: n.holder, at: h.Now()}
 		}
 	}
 }
 
-func carryToLog(h *history, log *standin.LogState, n *node, cmd Command, last map[Key]use) {
+func sendToLog(h *history, log *standin.LogState, n *node, cmd Command, last map[Key]use) {
 	switch cmd := cmd.(type) {
 	case Acquire:
 		h.grantAll(n, cmd.Key, cmd.SentAt)
 	case Renew:
 		h.grantAll(n, cmd.Key, cmd.SentAt)
 	case Quiesce:
-		if n.idles {
-			delete(last, cmd.Key) // its last start will be settled before its release is written
+		if n.answersQuiesce {
+			delete(last, cmd.Key) // its last start is settled before its release is appended
 		}
 	case AppendFences:
 		h.deliver("append", func() {
 			_, err := log.Append(h.Now(), cmd.Stream, cmd.Group)
-			h.deliver("appended", func() { h.tell(n, LogEvent{appended(cmd.Tag, err)}) })
+			h.deliver("appended", func() { h.step(n, LogEvent{appended(cmd.Tag, err)}) })
 		})
-		h.After(testTTL, func() { h.tell(n, LogEvent{stream.AppendFailed{Tag: cmd.Tag}}) })
+		h.After(testTTL, func() { h.step(n, LogEvent{stream.AppendFailed{Tag: cmd.Tag}}) })
 	case ReadFences:
 		h.deliver("read", func() { h.read(log, n, cmd, cmd.Wait) })
-		h.After(testTTL, func() { h.tell(n, LogEvent{stream.ReadFailed{Tag: cmd.Tag}}) })
+		h.After(testTTL, func() { h.step(n, LogEvent{stream.ReadFailed{Tag: cmd.Tag}}) })
 	}
 }
 
-// read answers a read, after its wait if there is nothing new.
+// read answers a read as soon as there are new records, or when its wait ends.
 func (h *history) read(log *standin.LogState, n *node, cmd ReadFences, wait time.Duration) {
 	page, _, err := log.Read(h.Now(), cmd.Stream, cmd.After, cmd.Limit)
 	if err == nil && len(page.Records) == 0 && wait > 0 {
-		const look = 100 * time.Millisecond
-		h.After(look, func() { h.read(log, n, cmd, wait-look) })
+		const pollInterval = 100 * time.Millisecond
+		h.After(pollInterval, func() { h.read(log, n, cmd, wait-pollInterval) })
 		return
 	}
-	h.deliver("page", func() { h.tell(n, LogEvent{read(cmd.Tag, page, err)}) })
+	h.deliver("page", func() { h.step(n, LogEvent{read(cmd.Tag, page, err)}) })
 }
 
 func (h *history) grantAll(n *node, key Key, sentAt time.Duration) {
 	h.deliver("lease", func() {
-		h.deliver("granted", func() { h.tell(n, Granted{Key: key, SentAt: sentAt}) })
+		h.deliver("granted", func() { h.step(n, Granted{Key: key, SentAt: sentAt}) })
 	})
 }
 
@@ -118,9 +118,9 @@
 	return stream.PageRead{Tag: tag, Page: page}
 }
 
-// The same histories over workers that check nothing. A caller would see a
-// doubled run if two hosts ever believed in one worker, or if one started while
-// a start of the other was still on its way.
+// Guards against duplicate runs on workers that do not check epochs, under the
+// same faults. Callers would see one if two hosts held one worker at once, or if
+// one host started a task while a start of the other was still in flight.
 func TestLogArbiterHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := logHistory(t)
@@ -129,9 +129,9 @@
 	})
 }
 
-// The log is out of reach for longer than the proof lasts. Its owner must stop
-// starting, because another host may be able to write; when the log is back it
-// goes on without a new fence.
+// Guards against starts by an owner that cannot reach the log for longer than
+// its confirmation lasts: another host may still be able to append a fence. When
+// the log is reachable again, the owner continues without a new fence.
 func TestLogOutageStopsOwner(t *testing.T) {
 	log := standin.NewLogState(standin.LogConfig{})
 	holder := ident.Holder{Host: "h1", Incarnation: 1}
@@ -153,13 +153,13 @@
 		t.Fatal("no lease after the wait")
 	}
 	log.SetFaults(standin.LogFaults{Down: true})
-	run(testTTL - time.Second) // the worker goes on answering
+	run(testTTL - time.Second) // the worker keeps answering
 	if _, ok := arb.Epoch(testKey, now+time.Second); ok {
-		t.Error("starts without a proof after a pause")
+		t.Error("starts permitted after a pause without confirmed ownership")
 	}
 	run(time.Second)
 	if _, ok := arb.Epoch(testKey, now); ok {
-		t.Error("starts without a proof")
+		t.Error("starts permitted without confirmed ownership")
 	}
 	log.SetFaults(standin.LogFaults{})
 	run(2 * time.Second)
@@ -168,7 +168,7 @@
 	}
 }
 
-// pair is two hosts on one log, stepped in turns.
+// pair is two hosts on one log, stepped alternately.
 type pair struct {
 	log     *standin.LogState
 	now     time.Duration
@@ -186,87 +186,88 @@
 	return p
 }
 
-func (p *pair) tell(i int, ev Event) {
+func (p *pair) step(i int, ev Event) {
 	p.pending[i] = append(p.pending[i], p.arbs[i].Step(p.now, ev)...)
 }
 
-// run steps the given hosts until the end or until done reports true.
+// run steps the given hosts for d, or until done reports true.
 func (p *pair) run(d time.Duration, done func() bool, hosts ...int) {
 	for end := p.now + d; p.now < end && !done(); p.now += 50 * time.Millisecond {
 		for _, i := range hosts {
 			todo := p.pending[i]
 			p.pending[i] = nil
-			p.tell(i, Tick{})
+			p.step(i, Tick{})
 			for _, cmd := range todo {
-				p.tell(i, answer(p.log, p.now, cmd))
+				p.step(i, answer(p.log, p.now, cmd))
 			}
 		}
 	}
 }
 
-func (p *pair) starts(i int) bool {
+func (p *pair) mayStart(i int) bool {
 	_, ok := p.arbs[i].Epoch(testKey, p.now)
 	return ok
 }
 
-// An owner stops answering; another host takes over. A start that the old owner
-// sent in its last moment of belief takes as long as a start may take, and the
-// worker refuses nothing: the new owner must not have started before.
+// Guards against a takeover while a start of the earlier owner is in flight: that
+// owner sent it just before its confirmation expired, and it may take MaxDelay to
+// arrive. The worker does not refuse it, so the new owner must not start before.
 func TestLogTakeoverWaitsForLateStarts(t *testing.T) {
 	p := newPair()
-	p.tell(0, Want{Key: testKey, Wanted: true})
-	p.run(time.Minute, func() bool { return p.starts(0) }, 0)
-	p.tell(1, Want{Key: testKey, Wanted: true})
-	p.tell(1, Presumed{Holder: pairHolders[0], Gone: true})
+	p.step(0, Want{Key: testKey, Wanted: true})
+	p.run(time.Minute, func() bool { return p.mayStart(0) }, 0)
+	p.step(1, Want{Key: testKey, Wanted: true})
+	p.step(1, Presumed{Holder: pairHolders[0], Gone: true})
 	var last time.Duration
 	p.run(time.Minute, func() bool {
-		if p.starts(0) {
+		if p.mayStart(0) {
 			last = p.now
 		}
-		return p.starts(1)
+		return p.mayStart(1)
 	}, 1)
-	if !p.starts(1) || p.now < last+testDelay {
-		t.Errorf("the new owner starts at %v (%v), the old one could until %v", p.now, p.starts(1), last)
+	if !p.mayStart(1) || p.now < last+testDelay {
+		t.Errorf("the new owner may start at %v (%v), the earlier owner could until %v", p.now, p.mayStart(1), last)
 	}
 }
 
-// An owner wakes far behind the end of a long stream. The first page that it
-// reads shows no fence of another, but one comes later in the stream: the page
-// proves nothing.
-func TestLogPageBeforeEndProvesNothing(t *testing.T) {
+// Guards against an owner that resumes far from the end of a long stream: the
+// first page that it reads has no fence of another host, but a later one has. A
+// page that does not reach the end must not confirm ownership.
+func TestLogPageBeforeEndDoesNotConfirmOwnership(t *testing.T) {
 	p := newPair()
 	p.arbs[0].reader.Limit = 1
-	p.tell(0, Want{Key: testKey, Wanted: true})
-	p.run(time.Minute, func() bool { return p.starts(0) }, 0)
+	p.step(0, Want{Key: testKey, Wanted: true})
+	p.run(time.Minute, func() bool { return p.mayStart(0) }, 0)
 	for range 5 {
 		if _, err := p.log.Append(p.now, "leases/z", [][]byte{[]byte("{}")}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.tell(1, Want{Key: testKey, Wanted: true})
-	p.tell(1, Presumed{Holder: pairHolders[0], Gone: true})
-	p.run(time.Minute, func() bool { return p.starts(1) }, 1)
-	p.run(time.Second, func() bool { return p.starts(0) }, 0, 1)
-	if p.starts(0) {
-		t.Error("the old owner starts again, though the new one does")
+	p.step(1, Want{Key: testKey, Wanted: true})
+	p.step(1, Presumed{Holder: pairHolders[0], Gone: true})
+	p.run(time.Minute, func() bool { return p.mayStart(1) }, 1)
+	p.run(time.Second, func() bool { return p.mayStart(0) }, 0, 1)
+	if p.mayStart(0) {
+		t.Error("the earlier owner may start tasks again, although the new owner may")
 	}
 }
 
-// Two hosts presume each other gone after a partition. One of them must come to
-// hold the worker, instead of both taking it from each other.
-func TestLogMutualPresumptionEnds(t *testing.T) {
+// Guards against two hosts that presume each other dead after a network partition
+// and keep taking the worker over from each other. One of them must come to hold
+// it.
+func TestLogMutualDeathPresumptionIsResolved(t *testing.T) {
 	p := newPair()
 	for i := range 2 {
-		p.tell(i, Want{Key: testKey, Wanted: true})
-		p.tell(i, Presumed{Holder: pairHolders[1-i], Gone: true})
+		p.step(i, Want{Key: testKey, Wanted: true})
+		p.step(i, Presumed{Holder: pairHolders[1-i], Gone: true})
 	}
-	p.run(time.Minute, func() bool { return p.starts(0) || p.starts(1) }, 0, 1)
-	if !p.starts(0) && !p.starts(1) {
-		t.Error("nobody holds the worker after a minute")
+	p.run(time.Minute, func() bool { return p.mayStart(0) || p.mayStart(1) }, 0, 1)
+	if !p.mayStart(0) && !p.mayStart(1) {
+		t.Error("no host holds the worker after a minute")
 	}
 }
 
-// answer carries out a command at once.
+// answer executes a command immediately and returns its answer.
 func answer(log *standin.LogState, now time.Duration, cmd Command) Event {
 	switch cmd := cmd.(type) {
 	case Acquire:
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -22,8 +22,9 @@
 
 func newTestManager() *Manager { return New(Options{Self: testSelf, TTL: testTTL, Drift: 0.02}) }
 
-// gainedAt returns a manager that holds epoch 3 by a request sent at sentAt.
-func gainedAt(t *testing.T, sentAt time.Duration) *Manager {
+// managerHolding returns a manager that holds epoch 3 since a request sent at
+// sentAt.
+func managerHolding(t *testing.T, sentAt time.Duration) *Manager {
 	t.Helper()
 	m := newTestManager()
 	cmds := m.Step(sentAt, Want{Key: testKey, Wanted: true})
@@ -46,48 +47,50 @@
 	}
 }
 
-// A request is started by a host that lost the worker. The host sent a renewal
-// that took two seconds on the way, and counted its lease from the answer; the
-// worker had counted from the arrival and had given the lease to another host.
+// Guards against a host that starts tasks after the worker has granted the lease
+// to another host: a renewal is delayed by two seconds, and the host counts its
+// lease from the answer, while the worker counts from the arrival of the request.
 func TestLeaseCountsFromSending(t *testing.T) {
-	m := gainedAt(t, 0)
+	m := managerHolding(t, 0)
 	m.Step(2*time.Second, Tick{})
 	m.Step(4*time.Second, grant(2*time.Second, 3))
 	wantEpoch(t, m, 2*time.Second+testSpan-1, 3)
 	wantEpoch(t, m, 2*time.Second+testSpan, 0)
 }
 
-// A host is paused past its lease and wakes in the middle of a start. No event
-// has told it that the lease is gone, so only its clock can.
+// Guards against starts by a host that was paused until after its lease expired
+// and resumes in the middle of a start. No event has reported the expiry yet;
+// only the host's clock shows it.
 func TestPausedHolderStartsNothing(t *testing.T) {
-	m := gainedAt(t, 0)
+	m := managerHolding(t, 0)
 	wantEpoch(t, m, time.Minute, 0)
 	cmds := m.Step(time.Minute, grant(0, 3))
 	if _, ok := cmds[0].(Lost); !ok {
-		t.Errorf("first command after waking is %#v, want Lost", cmds[0])
+		t.Errorf("first command after the pause is %#v, want Lost", cmds[0])
 	}
 	for _, cmd := range cmds {
 		if _, ok := cmd.(Gained); ok {
-			t.Error("a grant that is used up was taken for a new lease")
+			t.Error("an expired grant was taken for a new lease")
 		}
 	}
 	wantEpoch(t, m, time.Minute, 0)
 }
 
-// The network delivers a grant twice, the second time after a newer renewal.
-// The old one would bring back a list of tasks that is out of date.
-func TestDoubledGrantGivesNothing(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against a grant that the network delivers twice, the second time after
+// a newer renewal: the duplicate would bring back an outdated list of tasks.
+func TestDuplicateGrantHasNoEffect(t *testing.T) {
+	m := managerHolding(t, 0)
 	if cmds := m.Step(time.Second, grant(0, 3)); len(cmds) != 0 {
-		t.Errorf("doubled grant caused %#v", cmds)
+		t.Errorf("duplicate grant caused %#v", cmds)
 	}
 	wantEpoch(t, m, testSpan, 0)
 }
 
-// A host hands a worker over and releases it; then the grant of a renewal that
-// it sent before arrives. The worker has a new owner already.
-func TestLateGrantAfterRelease(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against using a released lease again: the host hands a worker over and
+// releases it, and then the grant of an earlier renewal arrives. The worker may
+// already have a new holder.
+func TestLateGrantAfterReleaseIsIgnored(t *testing.T) {
+	m := managerHolding(t, 0)
 	m.Step(2*time.Second, Tick{}) // renews
 	m.Step(2100*time.Millisecond, Want{Key: testKey, Wanted: false})
 	wantEpoch(t, m, 2100*time.Millisecond, 0)
@@ -103,10 +106,12 @@
 	wantEpoch(t, m, 2600*time.Millisecond, 0)
 }
 
-// The worker hands its lease on and refuses a start by epoch. The holder must
-// not send another start under it, nor believe an older grant that comes later.
+// Guards against starts under a refused epoch: the worker has granted the lease
+// to another host and refuses a start because of its epoch. The earlier holder
+// must send no further start under it, and must ignore an older grant that
+// arrives later.
 func TestRefusedEpochEndsLease(t *testing.T) {
-	m := gainedAt(t, 0)
+	m := managerHolding(t, 0)
 	m.Step(2*time.Second, Tick{})
 	cmds := m.Step(3*time.Second, EpochRefused{Key: testKey, Epoch: 3})
 	if len(cmds) != 2 {
@@ -116,9 +121,9 @@
 	wantEpoch(t, m, 3100*time.Millisecond, 0)
 }
 
-// A host stops wanting a worker while its request is on the way. The grant
-// that comes must be given back, or the worker serves nobody for a TTL.
-func TestGrantNoLongerWantedIsReleased(t *testing.T) {
+// Guards against a worker that no host can use for a TTL: the lease is no longer
+// wanted while its request is in flight. The grant must be released.
+func TestUnwantedGrantIsReleased(t *testing.T) {
 	m := newTestManager()
 	m.Step(0, Want{Key: testKey, Wanted: true})
 	m.Step(time.Millisecond, Want{Key: testKey, Wanted: false})
@@ -130,10 +135,10 @@
 	wantEpoch(t, m, 2*time.Millisecond, 0)
 }
 
-// A planned stop: no start after Drain, and the host may exit when every lease
-// is given back, also when the caller never says that it is idle.
-func TestDrainGivesEverythingBack(t *testing.T) {
-	m := gainedAt(t, 0)
+// In a planned stop no start is sent after Drain, and the host may exit once
+// every lease is released, even if the caller never sends Idle.
+func TestDrainReleasesAllLeases(t *testing.T) {
+	m := managerHolding(t, 0)
 	m.Step(time.Second, Drain{})
 	wantEpoch(t, m, time.Second, 0)
 	if m.Drained(time.Second) {
@@ -153,10 +158,11 @@
 	}
 }
 
-// A worker refuses a renewal because another host took the lease over. The
-// holder must not wait for its own clock before it asks again.
-func TestRefusedRenewalAsksAnew(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against a delay after a refused renewal: another host has taken the
+// lease over. The earlier holder must request it again immediately, and not wait
+// until its lease expires by its own clock.
+func TestRefusedRenewalReacquiresImmediately(t *testing.T) {
+	m := managerHolding(t, 0)
 	m.Step(2*time.Second, Tick{})
 	cmds := m.Step(2100*time.Millisecond, Refused{Key: testKey, SentAt: 2 * time.Second, Epoch: 3, Refusal: ports.RefusedLapsed})
 	if len(cmds) != 2 {
@@ -165,20 +171,21 @@
 	wantEpoch(t, m, 2100*time.Millisecond, 0)
 }
 
-// A refusal of a start of an earlier lease arrives when a new one is held. It
-// says nothing of the new one.
-func TestLateRefusalOfOldEpoch(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against losing a lease to a late refusal: a start under an earlier
+// epoch is refused, and the refusal arrives when a newer epoch is held.
+func TestLateRefusalOfOldEpochIsIgnored(t *testing.T) {
+	m := managerHolding(t, 0)
 	if cmds := m.Step(time.Second, EpochRefused{Key: testKey, Epoch: 2}); len(cmds) != 0 {
 		t.Errorf("late refusal caused %#v", cmds)
 	}
 	wantEpoch(t, m, time.Second, 3)
 }
 
-// While a worker is handed over, the grant of a doubled request gives a newer
-// epoch. Keeping it would undo the handover and stall the successor for a TTL.
-func TestNewerGrantDuringHandover(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against undoing a handover: during the handover, the grant of a
+// duplicated request gives a newer epoch. Keeping it would block the next holder
+// for a TTL.
+func TestNewerGrantDuringHandoverIsReleased(t *testing.T) {
+	m := managerHolding(t, 0)
 	m.Step(time.Second, Want{Key: testKey, Wanted: false})
 	cmds := m.Step(1100*time.Millisecond, grant(0, 4))
 	want := []Command{Lost{Key: testKey, Epoch: 3}, Release{Key: testKey, Epoch: 4}}
@@ -187,10 +194,11 @@
 	}
 }
 
-// A worker that lost its memory grants an epoch that it refused before. Asking
-// again at once would send requests as fast as the network carries them.
-func TestUselessGrantBacksOff(t *testing.T) {
-	m := gainedAt(t, 0)
+// Guards against requests in a tight loop: a worker that lost its state grants an
+// epoch that it refused before. An immediate retry would send requests as fast
+// as the network allows.
+func TestGrantOfRefusedEpochBacksOff(t *testing.T) {
+	m := managerHolding(t, 0)
 	m.Step(time.Second, EpochRefused{Key: testKey, Epoch: 3}) // acquires
 	if cmds := m.Step(1001*time.Millisecond, grant(time.Second, 3)); len(cmds) != 0 {
 		t.Errorf("a grant of a refused epoch caused %#v", cmds)
