--- a/engine/membership.go
+++ b/engine/membership.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// want passes a wish for a lease on, unless a promise to another host forbids
-// to hold it.
+// want forwards whether membership wants a lease to the lease manager. While a
+// compute lease is covered by a promise to another host, it is not wanted.
 func (e *Engine) want(key lease.Key, wanted bool) {
 	if key.Class == ports.ClassCompute && e.reclaim.promised(key.Worker) {
 		e.reclaim.wishes[key.Worker] = wanted
@@ -55,7 +55,7 @@
 		Draining: d.Draining,
 	})
 	e.config.peerSeen(e.now, d)
-	if d.Zone == e.opts.Zone { // others never touch this zone's workers
+	if d.Zone == e.opts.Zone { // hosts of other zones never use this zone's workers
 		e.stepRecovery(jobs.HostHeard{Host: d.Holder.Host})
 	}
 }
@@ -65,10 +65,10 @@
 	e.stepRouter(request.PeerGone{Host: host})
 }
 
-// loadEvery is how old the load in a digest may be.
+// loadEvery is the interval at which the load in digests is refreshed.
 const loadEvery = 100 * time.Millisecond
 
-// reportLoad tells membership what digests are to carry.
+// reportLoad updates the load that membership puts into digests.
 func (e *Engine) reportLoad() {
 	if e.now < e.loadNext {
 		return
@@ -90,11 +90,11 @@
 	e.stepMembers(member.LoadChanged{Load: load})
 }
 
-// Digest returns a digest of this host, to answer a peer's with.
+// Digest returns the digest of this host, the reply to a peer's digest.
 func (e *Engine) Digest() member.Digest { return e.members.Digest() }
 
-// applyMarks tells the request path and the scheduler which workers take
-// nothing new, by the host list or by an operator's mark.
+// applyMarks cordons, in the request path and the scheduler, the workers that
+// the host list reports as leaving or that an operator has marked.
 func (e *Engine) applyMarks() {
 	for _, entry := range e.members.Workers() {
 		e.applyMark(entry)
@@ -107,19 +107,20 @@
 	e.markCompute(entry.Worker, leaving)
 }
 
-// View is what the edges know of the other hosts. It is immutable.
+// View is the state of the other hosts as published to the front ends. It is
+// immutable.
 type View struct {
 	Schedules bool // this host owns its zone's job stream
 	Hosts     []ViewHost
 }
 
-// ViewHost is one other host that counts as live.
+// ViewHost is one other host that membership considers live.
 type ViewHost struct {
 	Host      ident.HostID
 	Zone      ident.Zone
 	Addr      string
-	Scheduler bool // by its last digest
-	Heard     bool
+	Scheduler bool // according to its last digest
+	Heard     bool // a digest of it has been received
 	Config    ports.Offset
 	Waiting   int
 	Leases    int
@@ -127,11 +128,11 @@
 	Holder    ident.Holder
 }
 
-// viewEvery is how soon the view shows that a host has fallen silent. What is
-// heard of a host, and ownership of the job stream, are shown at once.
+// viewEvery bounds the delay until the view omits a host that no longer sends
+// digests. Received digests and ownership of the job stream take effect at once.
 const viewEvery = 200 * time.Millisecond
 
-// publishView gives the edges a new view when it has changed.
+// publishView publishes a new view if it has changed.
 func (e *Engine) publishView() {
 	changes := e.members.Changes()
 	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewOf == changes && e.now < e.viewNext {
--- a/engine/options.go
+++ b/engine/options.go
@@ -12,15 +12,15 @@
 	"github.com/fireflyfold/fireflyfold/sched"
 )
 
-// Options configure an engine. Self, Zone and Zones are required; what is zero
-// in the options of the parts takes their defaults, and their identities are
-// filled in.
+// Options configures an Engine. Self, Zone and Zones are required. Zero values
+// in the options of the components take the components' defaults; the identity
+// fields there (Self, Zone, Addr, Seed) are overwritten.
 type Options struct {
 	Self  ident.Holder
 	Zone  ident.Zone
-	Zones []ident.Zone // configured, the same on every host
-	Addr  string       // IP and port of the peer endpoint
-	Seed  uint64       // of every random choice
+	Zones []ident.Zone // all configured zones, identical on every host
+	Addr  string       // IP and port of this host's peer endpoint
+	Seed  uint64       // for all random choices
 
 	Lease   lease.Options
 	Member  member.Options
@@ -29,11 +29,11 @@
 	Jobs    jobs.Config   // zero for jobs.DefaultConfig
 	Ledger  ledger.Config // zero for ledger.DefaultConfig
 
-	ConfigPoll     time.Duration // longest wait of one read of the configuration; default 1 s
-	SnapshotEvery  time.Duration // between snapshots of the configuration; default 1 h
-	KeepJobs       time.Duration // how long ended jobs and their keys are remembered; default 24 h
-	ListLag        time.Duration // how far the host list may be behind; default 10 s
-	MaxRequestTime time.Duration // longest life of a request; default 60 s
+	ConfigPoll     time.Duration // maximum wait of one read of the configuration; default 1 s
+	SnapshotEvery  time.Duration // interval between snapshots of the configuration; default 1 h
+	KeepJobs       time.Duration // how long ended jobs and their idempotency keys are kept; default 24 h
+	ListLag        time.Duration // maximum staleness of the host list; default 10 s
+	MaxRequestTime time.Duration // maximum duration of a request; default 60 s
 }
 
 // Defaults of Options.
@@ -80,6 +80,6 @@
 	o.Member.Addr = o.Addr
 	o.Member.Seed = o.Seed
 	o.Request.Zone = o.Zone
-	o.Request.Remember = 2 * o.MaxRequestTime // as long again for a message on its way
+	o.Request.Remember = 2 * o.MaxRequestTime // a request, and as long again for a message in flight
 	return o
 }
