--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -12,31 +12,32 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// proposal is a record on its way into the log, and what follows from its
-// fate. Exactly one of effective and void is called, effective perhaps after
-// undecided.
+// proposal handles the result of a record proposed to the log. Exactly one of
+// effective and void is called. undecided may be called before either of them,
+// when the log has not answered in time.
 type proposal interface {
 	effective(e *Engine, late bool)
 	void(e *Engine, ev jobs.Void)
 	undecided(e *Engine)
 }
 
-// sentProposal is a proposal with the record that it is about.
+// sentProposal is a proposal and its record.
 type sentProposal struct {
 	proposal
 	body jobs.Record
 }
 
-// propose sends a record on its way. A zero deadline means none.
+// propose proposes a record to the owner of the zone's stream. A zero deadline
+// means none.
 func (e *Engine) propose(p proposal, body jobs.Record, deadline time.Duration) {
 	e.proposalID++
 	e.proposals[e.proposalID] = sentProposal{proposal: p, body: body}
 	e.stepOwner(jobs.Propose{ID: e.proposalID, Body: body, Deadline: deadline})
 }
 
-// reportsEnd reports whether a proposal says that something is over. Nobody
-// can be asked to repeat it, so it must not be given up while this host owns
-// the stream.
+// reportsEnd reports whether a proposal records the end of an attempt or a job.
+// No caller retries such a record, so it must not be dropped while this host
+// owns the stream.
 func reportsEnd(p proposal) bool {
 	switch p.(type) {
 	case *ending, *jobEnding, *resolution, *dropped:
@@ -45,12 +46,12 @@
 	return false
 }
 
-// voided settles a proposal that had no effect.
+// voided handles a proposal that had no effect.
 //
-// It guards against ends that are lost in a burst: while the log is slow the
-// owner refuses proposals over its bound, and an end dropped then would leave
-// its room, its units and its job taken for ever. It is proposed again until
-// it is in force or another host owns the stream.
+// While the log is slow, the owner refuses proposals over its bound. If the end
+// of an attempt were dropped then, its resources, its limit units and its job
+// would stay in use forever. Such a record is therefore proposed again until it
+// takes effect or another host owns the stream.
 func (e *Engine) voided(p sentProposal, ev jobs.Void) {
 	if ev.Reason == jobs.VoidFull && reportsEnd(p.proposal) {
 		e.refusedEnds = append(e.refusedEnds, p)
@@ -59,7 +60,7 @@
 	p.void(e, ev)
 }
 
-// endsPerTick bounds how many refused ends are proposed again at once.
+// endsPerTick is the maximum number of refused ends proposed again per tick.
 const endsPerTick = 1024
 
 // retryEnds proposes refused ends again.
@@ -111,16 +112,16 @@
 	return p, ok
 }
 
-// assignment is the record that must be in force before an attempt starts.
+// assignment is the proposal of the record that must take effect before an
+// attempt starts.
 type assignment struct {
 	a    *attempt
 	zone *zoneScheduler
 }
 
-// effective starts the attempt. One that was dropped while its record was on
-// its way was not started and never will be; without the record of that it
-// would stay open, and its job unfinished, for as long as this host owns the
-// stream.
+// effective starts the attempt. An attempt that was dropped while its record was
+// in flight is never started. Its end is recorded; otherwise it would stay open,
+// and its job unfinished, for as long as this host owns the stream.
 func (p *assignment) effective(e *Engine, _ bool) {
 	if e.zone != nil && e.zone == p.zone && e.zone.attempts.has(p.a) {
 		e.start(p.a)
@@ -129,7 +130,8 @@
 	e.propose(&dropped{}, endedRecord(p.a.ID, jobs.ResultNeverStarted, "given up before its start"), 0)
 }
 
-// dropped is the record that closes an attempt nobody waits for any more.
+// dropped is the proposal of the end of an attempt that was dropped before its
+// start. Nothing follows from its result.
 type dropped struct{}
 
 func (*dropped) effective(*Engine, bool) {}
@@ -146,11 +148,11 @@
 
 func (p *assignment) undecided(*Engine) {}
 
-// ending is the record of an attempt's end.
+// ending is the proposal of the record of an attempt's end.
 type ending struct {
 	a    *attempt
-	then sched.Event // what the scheduler is told once it is in force
-	ack  string      // task that the worker may forget then; empty for none
+	then sched.Event // event for the scheduler once the record takes effect
+	ack  string      // task to acknowledge to the worker then; empty for none
 }
 
 func (p *ending) effective(e *Engine, _ bool) {
@@ -163,8 +165,8 @@
 	e.closeAttempt(p.a, p.then)
 }
 
-// void of an ending means that this host is no longer the owner, or that the
-// log has the end already; the state after a takeover is built anew.
+// void closes the attempt if the log already holds its end. Otherwise this host
+// no longer owns the stream, and the next owner rebuilds the state from the log.
 func (p *ending) void(e *Engine, ev jobs.Void) {
 	if ev.Reason == jobs.VoidRejected {
 		p.effective(e, false)
@@ -173,7 +175,7 @@
 
 func (p *ending) undecided(*Engine) {}
 
-// jobEnding is the record of a job's end.
+// jobEnding is the proposal of the record of a job's end.
 type jobEnding struct {
 	done JobDone
 }
@@ -191,7 +193,8 @@
 	}}, 0)
 }
 
-// submission is the acceptance of a job, which a caller waits for.
+// submission is the proposal of the record that accepts a job. Its caller waits
+// for the result.
 type submission struct {
 	call     uint64
 	ev       JobSubmitted
@@ -206,8 +209,8 @@
 
 func (p *submission) void(e *Engine, ev jobs.Void) { p.answer(e, JobInfo{}, voidError(ev)) }
 
-// undecided tells the caller the truth: the record may still appear. The job
-// then runs, once, under the identifier that the caller is given.
+// undecided answers that the outcome is unknown: the record may still appear in
+// the log. The job then runs once, under the identifier in the answer.
 func (p *submission) undecided(e *Engine) {
 	p.answer(e, JobInfo{}, &JobRefusedError{
 		Refusal: RefusedUnknown,
@@ -223,7 +226,7 @@
 	e.emit(JobAnswered{Call: p.call, Info: info, Err: err})
 }
 
-// voidError says why a record has no effect, for the caller that waited.
+// voidError returns the error for a caller whose record had no effect.
 func voidError(ev jobs.Void) error {
 	retry := max(ev.RetryAfter, time.Second)
 	switch ev.Reason {
@@ -243,7 +246,8 @@
 	}
 }
 
-// existing answers a submission or claim whose key has a job already.
+// existing answers a submission or claim whose idempotency key already belongs
+// to a job.
 func (e *Engine) existing(p proposal, job ident.JobID) {
 	switch p := p.(type) {
 	case *submission:
@@ -253,7 +257,7 @@
 	}
 }
 
-// jobSubmitted takes a job that was authenticated and checked.
+// jobSubmitted handles the submission of an authenticated and validated job.
 func (e *Engine) jobSubmitted(ev JobSubmitted) {
 	p := &submission{call: ev.Call, ev: ev, at: e.now}
 	if !e.Schedules() || e.draining {
@@ -273,8 +277,9 @@
 	}}, ev.Deadline)
 }
 
-// admitJob refuses what can never run here, or too much waits for. A repeat
-// of a submission under its key is not refused: it gets the job that exists.
+// admitJob returns a *JobRefusedError for a job that no worker of the zone could
+// ever run, or for which the backlog is too long. A repeated submission with the
+// same idempotency key is not refused; it is answered with the existing job.
 func (e *Engine) admitJob(ev JobSubmitted) error {
 	if ev.Key != "" && e.owner.State().ByKey(keyHash(ev.Spec.Team, ev.Key)) != nil {
 		return nil
@@ -285,7 +290,7 @@
 		return nil
 	}
 	if len(refused.Reasons) > 0 && !e.sizesKnown() {
-		return nil // the workers that could run it may not be known yet
+		return nil // workers that could run it may not be known yet
 	}
 	if len(refused.Reasons) > 0 {
 		return &JobRefusedError{Refusal: RefusedNoFit, Detail: refused.Error()}
@@ -293,7 +298,9 @@
 	return &JobRefusedError{Refusal: RefusedBusy, Detail: refused.Error(), RetryAfter: refused.RetryAfter}
 }
 
-// sizesKnown reports whether the scheduler sees every worker at its full size.
+// sizesKnown reports whether the scheduler has the full size of every worker:
+// the zone is opened, all compute leases are held, and the scheduler knows all
+// running tasks.
 func (e *Engine) sizesKnown() bool {
 	if !e.zone.opened {
 		return false
@@ -307,7 +314,7 @@
 	return true
 }
 
-// cancellation is the record of a caller's withdrawal.
+// cancellation is the proposal of the record that cancels a job.
 type cancellation struct {
 	ev       JobCancelRequested
 	answered bool
@@ -320,7 +327,7 @@
 
 func (p *cancellation) void(e *Engine, ev jobs.Void) {
 	if ev.Reason == jobs.VoidRejected {
-		// The job has ended or was cancelled before: a cancellation is idempotent.
+		// The job has ended or is already cancelled: cancellation is idempotent.
 		p.answer(e, e.jobInfo(e.owner.State().Job(p.ev.Job)), nil)
 		return
 	}
@@ -365,8 +372,9 @@
 	e.emit(JobAnswered{Call: ev.Call, Info: info})
 }
 
-// findJob returns a job of a team. Another team's job does not exist for it.
-// An empty team is an operator, who sees all.
+// findJob returns a job of a team. Jobs of other teams are reported as not
+// found. An empty team stands for an operator, who may access all jobs. The
+// error is a *JobRefusedError.
 func (e *Engine) findJob(id ident.JobID, team ident.TeamID) (*jobs.Job, error) {
 	if !e.Schedules() {
 		return nil, &JobRefusedError{Refusal: RefusedNotHere, Detail: "this host does not schedule the zone", RetryAfter: time.Second}
