--- a/engine/pump.go
+++ b/engine/pump.go
@@ -1,14 +1,15 @@
 package engine
 
-// pump carries out commands of one machine in order. Carrying one out may step
-// the machine again; what comes of that waits its turn, so that no command is
-// carried out in the middle of another.
+// pump executes the commands of one state machine in order. Executing a command
+// may step the machine again; the resulting commands are queued, and no command
+// is executed while another one is.
 type pump[C any] struct {
 	queue []C
 	busy  bool
 }
 
-// run queues cmds and, unless it is already under way, carries out the queue.
+// run queues cmds and executes the queue with do, unless an outer call of run
+// is already doing so.
 func (p *pump[C]) run(cmds []C, do func(C)) {
 	p.queue = append(p.queue, cmds...)
 	if p.busy {
--- a/engine/quarantine.go
+++ b/engine/quarantine.go
@@ -7,18 +7,19 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// quarantineEvery is the time between two looks at which workers are out of
-// choice, to tell operators of changes.
+// quarantineEvery is the interval at which changes of the set of quarantined
+// workers are reported to operators.
 const quarantineEvery = time.Second
 
-// quarantineWatch remembers which workers the request path keeps out of choice.
+// quarantineWatch holds the workers that were quarantined by the request path
+// at the last check.
 type quarantineWatch struct {
 	known  []ident.WorkerID // sorted
 	nextAt time.Duration
 }
 
-// tickQuarantine notes workers that were quarantined or returned since the last
-// look.
+// tickQuarantine emits a note for each worker that has entered or left
+// quarantine since the last check.
 func (e *Engine) tickQuarantine() {
 	w := &e.quarantine
 	if e.now < w.nextAt {
--- a/engine/streams.go
+++ b/engine/streams.go
@@ -9,8 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// stepStream hands an answer of the log to the machine that lives on the
-// stream.
+// stepStream passes an answer of the log to the state machine of its stream.
 func (e *Engine) stepStream(ev Event) {
 	switch ev := ev.(type) {
 	case StreamRead:
@@ -41,8 +40,8 @@
 	}
 }
 
-// appendResult classifies the answer to an append. Every failure but one that
-// is certain to have come before the append leaves it open.
+// appendResult converts the answer to an append. After a failure the append may
+// have taken effect, unless the failure certainly happened before it.
 func appendResult(ev Appended) stream.Event {
 	if ev.Err == nil {
 		return stream.AppendDone{Tag: ev.Tag}
