--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -14,34 +14,36 @@
 )
 
 const (
-	// promiseFor is how long a promise not to take a lease holds when the host
-	// that asked for it goes silent.
+	// promiseFor is how long a promise not to take a lease lasts unless the host
+	// that asked for it releases it earlier.
 	promiseFor = 2 * time.Minute
-	// reclaimEvery is the time between looks at dead holders.
+	// reclaimEvery is the interval between checks for dead holders.
 	reclaimEvery = time.Second
-	// suspectAfter is how long a holder of the zone must be silent to be
-	// suspected. Suspicion alone does nothing; the proof decides.
+	// suspectAfter is how long a holder of the zone must not have been heard
+	// from before it is suspected. Suspicion alone has no effect; units are
+	// reclaimed only after proof that the holder can start nothing.
 	suspectAfter = 8 * time.Second
 )
 
-// reclaimWatch keeps what this host promised to others and what it knows of
-// dead holders' units.
+// reclaimWatch holds the promises of this host to peers and the state of
+// reclaiming dead holders' units.
 type reclaimWatch struct {
-	promises  map[ident.WorkerID]time.Duration // until when
-	wishes    map[ident.WorkerID]bool          // what membership wants of promised workers
-	heldOff   map[ident.WorkerID]bool          // waited out by this host
-	newest    map[promiseSource]uint64         // order of the newest question
-	asks      uint64                           // own questions so far
-	zoneHosts []ident.HostID                   // of the own zone, as listed
-	listed    map[ident.HostID]bool            // all hosts, as listed
+	promises  map[ident.WorkerID]time.Duration // expiry by worker
+	wishes    map[ident.WorkerID]bool          // whether membership wants the lease of a promised worker
+	heldOff   map[ident.WorkerID]bool          // recovery waits for the worker's tasks to stop
+	newest    map[promiseSource]uint64         // highest Order received
+	asks      uint64                           // last Order sent
+	zoneHosts []ident.HostID                   // hosts of this zone in the host list, sorted
+	listed    map[ident.HostID]bool            // all hosts in the host list
 
 	proof   *ledger.Reclaimer
-	workers map[ident.WorkerID]bool // of the zone, as last told to the reclaimer
+	workers map[ident.WorkerID]bool // workers of the zone last passed to the reclaimer
 	nextAt  time.Duration
-	left    bool // the ledger membership has ended as asked
+	left    bool // this host has left the ledger, as requested by the drain
 }
 
-// promiseSource is who asked for a promise about which worker.
+// promiseSource identifies the holder that asked for a promise and the worker
+// concerned.
 type promiseSource struct {
 	from   ident.Holder
 	worker ident.WorkerID
@@ -58,15 +60,16 @@
 	}
 }
 
-// promised reports whether the compute lease of a worker must not be asked for:
-// a peer was promised so, or this host waits for the end of what runs there.
+// promised reports whether the compute lease of a worker must not be acquired:
+// this host promised so to a peer, or it waits for the worker's tasks to stop.
 func (r *reclaimWatch) promised(worker ident.WorkerID) bool {
 	_, ok := r.promises[worker]
 	return ok || r.heldOff[worker]
 }
 
-// holdOff keeps this host itself from sending lease calls to a worker whose
-// tasks are waited out: one without an answer could let them live on.
+// holdOff stops this host's lease calls to a worker while a recovery waits for
+// the worker's tasks to stop. A lease call that gets no answer could still have
+// reached the worker and prolonged them.
 func (e *Engine) holdOff(worker ident.WorkerID) {
 	if !e.reclaim.promised(worker) {
 		e.reclaim.wishes[worker] = e.members.Scheduler()
@@ -75,7 +78,7 @@
 	e.stepLeases(lease.Want{Key: lease.Key{Worker: worker, Class: ports.ClassCompute}, Wanted: false})
 }
 
-// resume ends holdOff.
+// resume ends the effect of holdOff.
 func (e *Engine) resume(worker ident.WorkerID) {
 	if !e.reclaim.heldOff[worker] {
 		return
@@ -84,7 +87,8 @@
 	e.regain(worker)
 }
 
-// regain passes on what membership wants of a worker, once nothing forbids it.
+// regain applies whether membership wants a worker's compute lease, if no
+// promise or holdOff covers the worker any more.
 func (e *Engine) regain(worker ident.WorkerID) {
 	if e.reclaim.promised(worker) {
 		return
@@ -109,7 +113,7 @@
 	e.zoneWorkersListed()
 }
 
-// emitPromise asks a peer for a promise, or frees it from one.
+// emitPromise asks a peer for a promise or releases it from one.
 func (e *Engine) emitPromise(host ident.HostID, ask AskPromise) {
 	for _, p := range e.view.Hosts {
 		if p.Host == host {
@@ -124,11 +128,11 @@
 	}
 }
 
-// maxQuestions bounds the questions that are remembered.
+// maxQuestions bounds the number of sources in reclaimWatch.newest.
 const maxQuestions = 4096
 
-// remember notes the newest question of a host about a worker. Hosts come and
-// go, so beyond the bound those without a promise in force are forgotten.
+// remember records the highest Order of a source. Hosts are replaced over time,
+// so at the bound the sources without a promise in force are removed.
 func (r *reclaimWatch) remember(source promiseSource, order uint64) {
 	if len(r.newest) >= maxQuestions {
 		maps.DeleteFunc(r.newest, func(s promiseSource, _ uint64) bool { return !r.promised(s.worker) })
@@ -137,12 +141,13 @@
 }
 
 // promiseAsked gives up the compute lease of a worker for a peer that settles
-// what ran there, and promises not to take it again until it is released. The
-// promise is given only once the lease is not held.
+// the attempts there, and promises not to acquire it until the peer releases the
+// promise. The reply says Given only once the lease is not held.
 //
-// A question that comes late or twice, after the release that followed it,
-// would keep the lease from this host for as long as a promise lasts, and
-// nobody would release it; so older questions of the same host are dropped.
+// A request that arrives late or twice, after the release that followed it,
+// would keep this host from acquiring the lease until the promise expires, since
+// no further release is sent. Requests of the same source with an Order that is
+// not higher than the last are therefore ignored.
 func (e *Engine) promiseAsked(ev PromiseAsked) {
 	source := promiseSource{from: ev.From, worker: ev.Worker}
 	if ev.Order <= e.reclaim.newest[source] {
@@ -178,7 +183,7 @@
 	}
 }
 
-// tickReclaim ends old promises, and on the zone's scheduler looks after the
+// tickReclaim ends expired promises and, on the zone's scheduler, reclaims the
 // units of dead holders of the zone.
 func (e *Engine) tickReclaim() {
 	for _, worker := range e.duePromises() {
@@ -190,7 +195,7 @@
 	e.reclaim.nextAt = e.now + reclaimEvery
 	e.tickLeft()
 	if !e.Schedules() || e.zone.recovery != nil || !e.sizesKnown() {
-		return // some tasks of the dead are not adopted yet
+		return // some tasks of dead holders may not be adopted yet
 	}
 	e.watchHolders()
 }
@@ -206,8 +211,9 @@
 	return due
 }
 
-// watchHolders names silent holders of the zone as suspects and gathers the
-// proof that they can start nothing: who leases each worker now.
+// watchHolders reports suspected holders of the zone to the reclaimer and
+// collects the proof that they can start nothing: the present lease holder of
+// each worker.
 func (e *Engine) watchHolders() {
 	suspects := e.suspects()
 	if len(suspects) == 0 {
@@ -225,8 +231,9 @@
 	e.stepReclaimer(ledger.ReclaimTick{})
 }
 
-// suspects lists the holders of the zone that have been silent for long, and
-// those that are known to have a younger life.
+// suspects returns the other holders of the zone that have not been heard from
+// for suspectAfter, and earlier incarnations of this host. Holders that were
+// heard from since are reported to the reclaimer as alive.
 func (e *Engine) suspects() []ident.Holder {
 	var list []ident.Holder
 	for _, holder := range e.units.State().Members() {
@@ -236,7 +243,7 @@
 		silence, heard := e.members.Silence(holder, e.now)
 		switch {
 		case holder.Host == e.opts.Self.Host:
-			list = append(list, holder) // an earlier life of this host
+			list = append(list, holder) // an earlier incarnation of this host
 		case heard && silence < suspectAfter:
 			e.stepReclaimer(ledger.Alive{Holder: holder})
 		case e.now >= suspectAfter:
@@ -246,9 +253,9 @@
 	return list
 }
 
-// zoneWorkersListed tells the reclaimer of the workers of the zone. One that
-// membership has given up, after the list dropped it and it was silent for
-// long, can run nothing any more.
+// zoneWorkersListed passes the workers of the zone to the reclaimer. A worker
+// that membership has removed, because it is no longer in the host list and has
+// not answered for long, cannot run anything any more.
 func (e *Engine) zoneWorkersListed() {
 	now := map[ident.WorkerID]bool{}
 	var ids []ident.WorkerID
@@ -265,7 +272,8 @@
 	e.reclaim.workers = now
 }
 
-// heldLeases lists the leases that this host holds, with what runs under them.
+// heldLeases returns the leases that this host holds, with the tasks that run
+// under them.
 func (e *Engine) heldLeases() []ledger.LeaseSeen {
 	var seen []ledger.LeaseSeen
 	for _, entry := range e.members.Workers() {
@@ -287,7 +295,8 @@
 	return seen
 }
 
-// runningTasks lists running tasks with the holder whose units they use.
+// runningTasks returns the running tasks, each with the holder whose limit units
+// it uses.
 func (e *Engine) runningTasks(tasks []ports.TaskReport) []ledger.RunningTask {
 	var list []ledger.RunningTask
 	for _, t := range tasks {
@@ -307,8 +316,9 @@
 	e.emit(LeasesReply{Call: ev.Call, Leases: e.heldLeases()})
 }
 
-// leasesAnswered counts what a peer's leases had left from the moment it was
-// asked, which is not later than the moment it looked.
+// leasesAnswered passes a peer's leases to the reclaimer. Their remaining time is
+// counted from when the question was sent, which is not later than when the peer
+// read it.
 func (e *Engine) leasesAnswered(ev LeasesAnswered) {
 	if !e.Schedules() {
 		return
@@ -327,8 +337,9 @@
 	}
 }
 
-// reclaimProved takes over the units of a dead holder. The tasks of it that
-// run on under this host use them from now on.
+// reclaimProved takes over the limit units of a dead holder. Its tasks that
+// continue under this host are counted against the units of this host from now
+// on.
 func (e *Engine) reclaimProved(ev ledger.Proved) {
 	e.note(NoteUnits, "takes over the limit units of "+ev.Dead.String())
 	adopted := map[ident.TeamID]int64{}
@@ -347,8 +358,8 @@
 	e.note(NoteUnits, "has the limit units of "+dead.String())
 }
 
-// reclaimVoid takes back what reclaimProved counted: another host has the
-// units, and what still runs of the dead holder's uses them there.
+// reclaimVoid undoes the accounting of reclaimProved: another host has taken
+// over the units, and the dead holder's tasks that still run use them there.
 func (e *Engine) reclaimVoid(dead ident.Holder) {
 	if e.zone == nil {
 		return
