--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -11,10 +11,10 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Waits of a recovery.
+// Intervals of a recovery.
 const (
-	callInFlight = 2 * time.Second // longest time from sending a call to its arrival
-	askPromises  = time.Second     // between requests for one peer's promise
+	callInFlight = 2 * time.Second // maximum time from sending a call to its arrival
+	askPromises  = time.Second     // interval between requests for the same peer's promise
 )
 
 func (e *Engine) recoveryConfig() jobs.RecoveryConfig {
@@ -27,22 +27,23 @@
 	}
 }
 
-// becameOwner takes over the zone's jobs. A job without open attempts goes to
-// the scheduler at once, one with open attempts when all of them are settled.
+// becameOwner takes over the zone's jobs. A job without open attempts is passed
+// to the scheduler at once, a job with open attempts after all are settled.
 func (e *Engine) becameOwner(ev jobs.BecameOwner) {
 	if e.zone == nil {
-		return // gave up meanwhile; the wish has been withdrawn
+		return // scheduling was given up meanwhile; ownership is no longer wanted
 	}
 	if epoch, owns := e.owner.Epoch(); !owns || epoch != ev.Epoch {
-		return // over again already: another fence was read in the same step
+		return // ownership was lost in the same step: a later fence was read
 	}
 	e.takeStream(ev, ev.Epoch)
 }
 
-// resumeStream takes the stream over again if this host still owns it: it gave
-// the scheduling up and took it back before the log could settle what was on
-// its way, so no new ownership is reported. Attempts of its own epoch are open
-// then as well, and nothing more of that former life may be on its way.
+// resumeStream takes over the stream again if this host still owns it. This
+// happens when the host gave up scheduling and resumed it before the log had
+// settled the proposals in flight: no new ownership is reported then. Attempts
+// of the host's own epoch may be open too, so the stream is taken over only when
+// no earlier proposal is in flight.
 func (e *Engine) resumeStream() {
 	epoch, owns := e.owner.Epoch()
 	if e.zone.epoch != 0 || !owns || len(e.proposals) > 0 || len(e.refusedEnds) > 0 {
@@ -52,7 +53,7 @@
 	e.takeStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, ofNoEpoch)
 }
 
-// takeStream restores the stream's jobs. Open attempts of other epochs than own
+// takeStream restores the stream's jobs. Open attempts of epochs other than own
 // are settled first.
 func (e *Engine) takeStream(ev jobs.BecameOwner, own jobs.Epoch) {
 	e.note(NoteScheduler, "schedules zone "+string(e.opts.Zone))
@@ -73,9 +74,9 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// cycleLease takes a worker's lease anew if this host holds it under the epoch
-// that a start may be on its way under. After it, that start cannot take
-// effect any more, and the grant shows whether it did.
+// cycleLease releases and reacquires a worker's compute lease if this host holds
+// it under epoch or an earlier one. A start in flight under epoch cannot take
+// effect after that, and the new grant shows whether it did.
 func (e *Engine) cycleLease(worker ident.WorkerID, epoch ports.Epoch) {
 	w := e.zone.workers[worker]
 	if w == nil || !w.held || w.epoch > epoch {
@@ -87,7 +88,7 @@
 	e.stepLeases(lease.Want{Key: key, Wanted: true})
 }
 
-// restoreJobs hands over what needs no recovery.
+// restoreJobs passes the jobs without attempts to settle to the scheduler.
 func (e *Engine) restoreJobs() {
 	for _, job := range e.owner.State().Jobs() {
 		switch {
@@ -100,8 +101,9 @@
 	}
 }
 
-// endOrphanRequest closes a request that an earlier owner claimed and whose
-// outcome it did not record. It may have run, so its key stays used.
+// endOrphanRequest records an unknown outcome for a request that an earlier
+// owner claimed without recording its outcome. The request may have run, so its
+// idempotency key stays used.
 func (e *Engine) endOrphanRequest(job *jobs.Job) {
 	if e.claims.running[job.Job] {
 		return
@@ -133,9 +135,9 @@
 	}
 }
 
-// ageOf is how long ago a job was accepted by the wall clock. It orders the
-// queue and counts against the deadline; a wrong clock shifts both and breaks
-// no promise.
+// ageOf returns how long ago a job was accepted by the wall clock, at least 0.
+// It determines the job's place in the queue and the time left until its
+// deadline. A wrong clock shifts both but breaks no guarantee.
 func (e *Engine) ageOf(job *jobs.Job) time.Duration {
 	return max(e.wall.Sub(job.AcceptedTime()), 0)
 }
@@ -159,7 +161,7 @@
 	return res
 }
 
-// exhausted reports whether a task may not be tried again.
+// exhausted reports whether a task must not be attempted again.
 func exhausted(job *jobs.Job, task jobs.Task) bool {
 	if task.Result == jobs.ResultNeverStarted || task.Result == "" {
 		return false
@@ -168,9 +170,9 @@
 	return job.Spec.NonIdempotent || counted >= max(job.Spec.MaxAttempts, 1)
 }
 
-// displaced returns how many attempts of a task were displaced. The log says
-// only that they were stopped; a task that may not be displaced was stopped for
-// another reason, such as its limit, and that counts as a failure.
+// displaced returns how many attempts of a task were preempted. The log records
+// only that they were stopped. A task that must not be preempted was stopped for
+// another reason, such as its run time limit, which counts as a failure.
 func displaced(job *jobs.Job, task jobs.Task) int {
 	if job.Spec.Displaceable && !job.Spec.NonIdempotent {
 		return task.Stopped
@@ -230,7 +232,7 @@
 	}
 }
 
-// adoptAttempt takes over an attempt that runs on.
+// adoptAttempt takes over a running attempt of an earlier owner.
 func (e *Engine) adoptAttempt(cmd jobs.Adopt) {
 	id := cmd.Attempt.Attempt
 	if e.zone.attempts.get(id) != nil {
@@ -254,7 +256,7 @@
 	e.settled(id.Job)
 }
 
-// resolveAttempt records the end of an attempt that does not run any more.
+// resolveAttempt records the end of an attempt that no longer runs.
 func (e *Engine) resolveAttempt(cmd jobs.Resolve) {
 	id := cmd.Attempt.Attempt
 	if a := e.zone.attempts.get(id); a != nil {
@@ -264,7 +266,7 @@
 	e.propose(&resolution{zone: e.zone, cmd: cmd}, endedRecord(id, cmd.Result, cmd.Reason), 0)
 }
 
-// resolveOwn closes an attempt of this life whose worker could not be reached.
+// resolveOwn closes an attempt of this scheduler whose worker was unreachable.
 func (e *Engine) resolveOwn(a *attempt, cmd jobs.Resolve) {
 	if cmd.Result == jobs.ResultNeverStarted {
 		e.endNever(a, "")
@@ -273,7 +275,8 @@
 	e.endLost(a, cmd.Reason)
 }
 
-// resolution is the record of how an earlier owner's attempt ended.
+// resolution is the proposal of the record of how an earlier owner's attempt
+// ended.
 type resolution struct {
 	zone *zoneScheduler
 	cmd  jobs.Resolve
@@ -298,7 +301,8 @@
 
 func (p *resolution) undecided(*Engine) {}
 
-// settled counts a settled attempt and hands the job over after the last.
+// settled counts a settled attempt of a job and passes the job to the scheduler
+// after the last one.
 func (e *Engine) settled(job ident.JobID) {
 	e.zone.recovering[job]--
 	if e.zone.recovering[job] > 0 {
@@ -308,8 +312,9 @@
 	e.restoreJob(job)
 }
 
-// abandonRecovery frees the peers from the promises that an unfinished recovery
-// holds. Its successor may be one of them, and would wait for its own promise.
+// abandonRecovery releases the peers from the promises of an unfinished recovery.
+// The next owner may be one of these peers, and its recovery would wait for the
+// promise that it gave itself.
 func (e *Engine) abandonRecovery() {
 	if e.zone.recovery == nil {
 		return
@@ -323,10 +328,11 @@
 	e.zone.recovery = nil
 }
 
-// recoverAttempts settles the attempts of a worker that cannot be reached.
+// recoverAttempts starts a recovery that settles the open attempts of an
+// unreachable worker.
 func (e *Engine) recoverAttempts(w *zoneWorker, open []jobs.OpenAttempt) {
 	if e.zone.recovery != nil || e.zone.epoch == 0 {
-		return // one recovery at a time; the next tick asks again
+		return // one recovery at a time; the next tick retries
 	}
 	e.note(NoteScheduler, "worker "+string(w.id)+" cannot be reached; settling what ran there")
 	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), e.zone.epoch+1, open)
@@ -334,13 +340,14 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// yieldFor is how long a host that lost the stream to another leaves it there.
-// Both may believe for a moment to be the zone's scheduler; without the pause
-// they would take the stream from each other until their views agree.
+// yieldFor is how long a host that lost the stream to another host waits before
+// it requests ownership again. Two hosts may both consider themselves the zone's
+// scheduler for a short time; without the wait they would take the stream from
+// each other until their views agree.
 const yieldFor = 5 * time.Second
 
-// tickYield wishes for the stream again if this host is still the one that
-// should schedule the zone.
+// tickYield requests ownership of the stream again after yieldFor, if this host
+// still is to schedule the zone.
 func (e *Engine) tickYield() {
 	if e.zone.yieldTo != 0 && e.now >= e.zone.yieldTo {
 		e.zone.yieldTo = 0
@@ -348,8 +355,9 @@
 	}
 }
 
-// lostOwnership starts the zone's work anew without its jobs, which are the
-// next owner's now. Services stay with whoever holds the compute leases.
+// lostOwnership replaces the zone's scheduler by one without jobs, which now
+// belong to the next owner. Service replicas stay with the holder of the compute
+// leases.
 func (e *Engine) lostOwnership(ev jobs.LostOwnership) {
 	if e.zone == nil || e.zone.epoch != ev.Epoch {
 		return
@@ -372,7 +380,7 @@
 	e.configureZone()
 	for _, w := range e.heldWorkers() {
 		e.countForeign(w)
-		e.addWorker(w) // not opened yet: without room
+		e.addWorker(w) // the new scheduler is not open yet: no capacity
 		e.applyReport(w)
 	}
 }
--- a/engine/recovery_test.go
+++ b/engine/recovery_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// restored restores a job of one task in a new scheduler, lets every attempt
-// fail, and returns how many there were and how the job ended.
+// restored restores a job of one task in a new scheduler, fails every attempt,
+// and returns the number of attempts and how the job ended.
 func restored(t *testing.T, spec work.Spec, task jobs.Task) (attempts int, end sched.JobEnded) {
 	t.Helper()
 	e := &Engine{zone: &zoneScheduler{attempts: newAttemptBook()}}
@@ -39,7 +39,7 @@
 		if _, tick := next.(sched.Tick); tick {
 			due, ok := s.Next()
 			if !ok {
-				t.Fatalf("the job waits for ever after %d attempts", attempts)
+				t.Fatalf("the job never ends: the scheduler has no next event after %d attempts", attempts)
 			}
 			now = max(now, due)
 		}
@@ -47,10 +47,11 @@
 	}
 }
 
-// The scheduler of a zone stops while a job's task waits. The task was refused
-// by two workers and displaced once; the caller allows two attempts, and the
-// next scheduler must make both. An approval that no worker took must be tried
-// and not end as unknown.
+// A zone's scheduler stops while a task is waiting. Refusals by workers and
+// preemptions do not count as attempts: with two refusals, one preemption and
+// MaxAttempts 2, the next scheduler must still make both attempts. A
+// non-idempotent task (an approval) that was only refused must be attempted and
+// not end as unknown.
 func TestRestoredJobKeepsItsAttempts(t *testing.T) {
 	spec := work.Spec{
 		Kind: work.KindBatch, Team: "t", Tasks: 1, MaxAttempts: 2, Displaceable: true,
