--- a/engine/reports.go
+++ b/engine/reports.go
@@ -13,12 +13,12 @@
 	"github.com/fireflyfold/fireflyfold/sched"
 )
 
-// computeGained takes over a worker. The epoch is new, so no start under an
-// older one can reach the worker any more: what the grant does not list and
-// was not known to have started never will.
+// computeGained takes over a worker. The worker refuses starts under epochs
+// older than the new one, so an attempt that is not in the grant and was not
+// known to have started will never start.
 func (e *Engine) computeGained(ev lease.Gained) {
 	if e.zone == nil {
-		return // wished before it was given up; the handover follows
+		return // requested before scheduling was given up; the handover follows
 	}
 	entry, listed := e.members.Worker(ev.Worker)
 	w := e.zone.workers[ev.Worker]
@@ -36,7 +36,7 @@
 	w.tasks = ev.Tasks
 	w.sentAt = ev.SentAt
 	e.countForeign(w)
-	e.stepSched(sched.WorkerAdded{Worker: w.id, Rack: w.rack}) // no room before its replicas are known
+	e.stepSched(sched.WorkerAdded{Worker: w.id, Rack: w.rack}) // no capacity before its replicas are known
 	e.settleOlderStarts(w)
 	e.applyReport(w)
 	e.addWorker(w)
@@ -65,7 +65,7 @@
 	e.applyReport(w)
 }
 
-// countForeign sums up the running tasks that the scheduler does not know.
+// countForeign sums the resources of running tasks unknown to the scheduler.
 func (e *Engine) countForeign(w *zoneWorker) {
 	w.foreign = resource.Vector{}
 	for _, t := range w.tasks {
@@ -80,9 +80,10 @@
 	}
 }
 
-// settleOlderStarts closes attempts whose start was under way under an older
-// epoch and that the worker does not have. A worker that restarted since may
-// have run them and forgotten it.
+// settleOlderStarts closes attempts whose start was in flight under an older
+// epoch and that the worker does not report. They never started, except on a
+// worker that has restarted since: it may have run them and lost its record of
+// it.
 func (e *Engine) settleOlderStarts(w *zoneWorker) {
 	for _, a := range e.zone.attempts.on(w.id) {
 		if a.lease >= w.epoch || a.phase != phaseStarting || reportOf(w.tasks, a) != nil {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// applyReport brings attempts in line with what their worker says.
+// applyReport reconciles attempts with the last report of their worker.
 func (e *Engine) applyReport(w *zoneWorker) {
 	for _, t := range w.tasks {
 		service, id, ok := parseTaskName(t.ID)
@@ -138,14 +139,15 @@
 	e.expectEnd(a, t.Ran)
 }
 
-// minLook is the least time between two looks at a worker for the end of a
-// task.
+// minLook is the minimum delay until a worker's report is fetched to detect the
+// end of a task.
 const minLook = 50 * time.Millisecond
 
-// expectEnd has the worker's report fetched when a task should end by its
-// declared run time, instead of at the next renewal: room that is free and not
-// known to be free keeps others waiting. A task that is overdue is looked for
-// at growing intervals, so that a wrong estimate costs few messages.
+// expectEnd schedules a fetch of the worker's report for when a task should end
+// by its declared run time, instead of at the next renewal: until the end is
+// known, other work waits for capacity that is already free. For an overdue task
+// the interval grows, which keeps the number of messages low when the estimate
+// is wrong.
 func (e *Engine) expectEnd(a *attempt, ran time.Duration) {
 	if a.Run <= 0 {
 		return
@@ -158,9 +160,9 @@
 	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(left, minLook)})
 }
 
-// unknownTask deals with a task that this host did not start. Replicas are
-// adopted, or stopped if their service is not declared any more. A job's
-// attempt is left to the recovery; one that the log says is over is stopped.
+// unknownTask handles a task that this host did not start. Replicas are adopted,
+// or stopped if their service is no longer declared. Attempts of jobs are left
+// to the recovery; an attempt that is closed in the log is stopped.
 func (e *Engine) unknownTask(w *zoneWorker, service ident.ServiceID, id ident.AttemptID, t ports.TaskReport) {
 	switch {
 	case service != "" && t.Ended:
@@ -177,12 +179,12 @@
 	}
 }
 
-// closedInLog reports whether the log says that an attempt is over.
+// closedInLog reports whether the log records that an attempt has ended.
 //
-// It guards against a host that was paused and still takes itself for the
-// owner: what it has not read yet may have opened the attempt. What is not
-// known is therefore not closed; stopping the task and having its worker forget
-// it would make the true owner believe that it never started.
+// A host that was paused and still considers itself the owner may not have read
+// the record that opened the attempt. An unknown attempt is therefore reported
+// as not closed: if its task were stopped and acknowledged to the worker, the
+// actual owner would conclude that it never started.
 func (e *Engine) closedInLog(id ident.AttemptID) bool {
 	job := e.owner.State().Job(id.Job)
 	if job == nil {
@@ -213,16 +215,16 @@
 	e.stepSched(sched.ReplicaRestored{Service: service, Team: t.Team, ID: id, Worker: w.id, Need: t.Need})
 }
 
-// adopt books an attempt that an earlier scheduler started. Its units are
-// those of that scheduler until they are reclaimed.
+// adopt adds an attempt that an earlier scheduler started. It uses the limit
+// units of that scheduler's host until they are reclaimed.
 func (e *Engine) adopt(a *attempt) {
 	a.by = e.units.State().Heir(a.by)
 	a.borrowed = !e.retake(a.ID) && a.by != e.opts.Self
 	e.zone.attempts.add(a)
 }
 
-// findMissing closes attempts that were running before the report was asked
-// for and that the worker does not have any more: it lost them.
+// findMissing closes as lost the attempts that were running before the report
+// was requested and that the report does not list.
 func (e *Engine) findMissing(w *zoneWorker) {
 	for _, a := range e.zone.attempts.on(w.id) {
 		if a.phase != phaseRunning || a.startedAt >= w.sentAt || reportOf(w.tasks, a) != nil {
@@ -232,8 +234,8 @@
 	}
 }
 
-// computeLost takes a worker out of choice. What runs there goes on until the
-// worker's own task lease ends, so nothing is started again yet.
+// computeLost cordons a worker. Its tasks continue until the worker's own task
+// lease expires, so nothing is restarted elsewhere yet.
 func (e *Engine) computeLost(ev lease.Lost) {
 	if e.zone == nil {
 		return
@@ -259,7 +261,8 @@
 	e.idleComputeIfQuiet(key.Worker)
 }
 
-// idleComputeIfQuiet lets a handover go on once no start is on its way.
+// idleComputeIfQuiet lets the handover of a worker continue once no start is in
+// flight.
 func (e *Engine) idleComputeIfQuiet(worker ident.WorkerID) {
 	if e.zone == nil {
 		return
@@ -274,7 +277,7 @@
 	e.stepLeases(lease.Idle{Key: lease.Key{Worker: worker, Class: ports.ClassCompute}})
 }
 
-// tickZone lets time pass in the zone's work.
+// tickZone advances the time of the zone's scheduler and recovery.
 func (e *Engine) tickZone() {
 	if e.zone == nil {
 		return
@@ -288,16 +291,16 @@
 	e.buryWorkers()
 }
 
-// buryWorkers gives up workers whose lease was lost for so long that nothing
-// that was started there can run any more.
+// buryWorkers removes workers whose lease was lost so long ago that no task
+// started there by this host can still run.
 //
-// It guards against starting a task again while its first run goes on on a
-// worker that is alive but cannot be reached. The worker stops its tasks by
-// its own clock when the task TTL has passed since the last renewal that
-// reached it, which is at the latest when the lease was lost here. Another
-// host that renewed the lease meanwhile would keep the tasks alive; attempts
-// of jobs are therefore settled by a recovery, which asks every host of the
-// zone to promise that it does not.
+// Without the wait, a task could be started again while its first run continues
+// on a worker that is alive but unreachable. The worker stops its tasks by its
+// own clock when the task TTL has passed since the last renewal that reached it,
+// and that renewal is not later than the loss of the lease here. Another host
+// that renewed the lease meanwhile would prolong the tasks. Attempts of jobs are
+// therefore settled by a recovery, which asks every host of the zone to promise
+// that it does not renew the lease.
 func (e *Engine) buryWorkers() {
 	var dead []*zoneWorker
 	for _, w := range e.zone.workers {
@@ -328,7 +331,7 @@
 	e.stepSched(sched.WorkerRemoved{Worker: w.id})
 }
 
-// taskSpan is how long after the loss of a lease a task may still run.
+// taskSpan returns how long a task may still run after the loss of its lease.
 func (e *Engine) taskSpan() time.Duration {
 	ttl := e.opts.Lease.TaskTTL
 	return ttl + time.Duration(float64(ttl)*e.opts.Lease.Drift) + e.leaseTTL()
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -7,23 +7,23 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// stopOrder is the stop or checkpoint that was sent for an attempt.
+// stopOrder is the stop or checkpoint call that was sent for an attempt.
 type stopOrder struct {
-	control ports.Control // empty if none was
+	control ports.Control // empty if none was sent
 	first   time.Duration // when it was first sent
-	last    time.Duration
+	last    time.Duration // when it was last sent
 }
 
-// stopRetry is the time after which a task that still runs is told again.
+// stopRetry is the time after which the call is repeated if the task still runs.
 const stopRetry = 400 * time.Millisecond
 
-// stopOrdered notes that a stop or checkpoint of an attempt was just sent.
+// stopOrdered records that a stop or checkpoint of an attempt was just sent.
 //
-// It guards against an order that overtakes the start: the worker does not know
-// the task yet and ignores it, the task then starts, and urgent work waits for
-// its room until the scheduler repeats the order seconds later. So an attempt
-// whose start was not sent is never started, and one whose start was under way
-// is told again as soon as it runs.
+// The call may overtake the start: the worker ignores it because it does not
+// know the task yet, the task then starts, and urgent work waits for its
+// resources until the scheduler repeats the call seconds later. An attempt whose
+// start was not sent yet is therefore never started, and for an attempt whose
+// start was in flight the call is repeated as soon as it runs.
 func (e *Engine) stopOrdered(a *attempt, control ports.Control) {
 	if a.stop.control == "" {
 		a.stop.first = e.now
@@ -33,15 +33,15 @@
 	e.expectStop(a)
 }
 
-// sendStop sends the order again.
+// sendStop sends the stop or checkpoint call again.
 func (e *Engine) sendStop(a *attempt) {
 	e.controlTask(a.Worker, a.name, a.stop.control)
 	a.stop.last = e.now
 	e.expectStop(a)
 }
 
-// stillRuns takes a report in which a task runs that was told to stop. The
-// order may be lost, so it is sent again after a while.
+// stillRuns handles a report in which a task still runs after a stop or
+// checkpoint. The call may have been lost, so it is repeated after stopRetry.
 func (e *Engine) stillRuns(a *attempt) {
 	if e.now >= a.stop.last+stopRetry {
 		e.sendStop(a)
@@ -50,10 +50,10 @@
 	e.expectStop(a)
 }
 
-// expectStop has the worker's report fetched soon after a stop or checkpoint was
-// sent. Nothing else tells that the task has ended: urgent work for which it is
-// displaced would wait for the next renewal, which may be seconds away. A task
-// that takes long to stop is looked for at growing intervals.
+// expectStop schedules a fetch of the worker's report soon after a stop or
+// checkpoint was sent. Only a report shows that the task has ended: the urgent
+// work for which it is preempted would otherwise wait for the next renewal, which
+// may be seconds away. For a task that takes long to stop the interval grows.
 func (e *Engine) expectStop(a *attempt) {
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
 	waited := e.now - a.stop.first
