--- a/engine/requests.go
+++ b/engine/requests.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/request"
 )
 
-// sentCall is a call in flight on a worker.
+// sentCall is a call in flight to a worker.
 type sentCall struct {
 	worker   ident.WorkerID
 	epoch    ports.Epoch
@@ -17,16 +17,15 @@
 	deadline time.Duration
 }
 
-// requestBook remembers which calls are in flight where, and which ended
-// lately, to tell a worker's report of them from calls of other hosts.
+// requestBook holds the calls in flight and those that ended recently. It
+// distinguishes them from calls of other hosts in a worker's report.
 type requestBook struct {
 	sent      map[ident.TaskID]sentCall
 	ended     map[ident.TaskID]time.Duration
-	order     []endedCall // the ended ones, oldest first
+	order     []endedCall // ended calls, oldest first
 	lingering map[ident.TaskID]lingeringCall
 }
 
-// endedCall is a call that ended.
 type endedCall struct {
 	id ident.TaskID
 	at time.Duration
@@ -40,12 +39,12 @@
 	}
 }
 
-// rememberEnded is how long an ended call is remembered: longer than a
-// worker's answer to a renewal can take.
+// rememberEnded is how long an ended call is kept: longer than a worker's answer
+// to a renewal can take.
 const rememberEnded = 10 * time.Second
 
-// accounted reports whether the running call in a report, asked for at sentAt,
-// is one that the request path counts itself.
+// accounted reports whether a running call, listed in a worker's report that was
+// requested at sentAt, is already counted by the request path.
 func (b *requestBook) accounted(worker ident.WorkerID, text string, sentAt time.Duration) bool {
 	id, err := ident.ParseTaskID(text)
 	if err != nil {
@@ -58,7 +57,8 @@
 	return ok && endedAt >= sentAt
 }
 
-// end notes that a call ended, and returns it if it was in flight.
+// end records the end of a call at now and returns the call. It returns false if
+// the call was not in flight.
 func (b *requestBook) end(id ident.TaskID, now time.Duration) (sentCall, bool) {
 	sent, ok := b.sent[id]
 	if !ok {
@@ -70,8 +70,8 @@
 	return sent, true
 }
 
-// expire forgets old ended calls. A call that was tried again and ended again
-// is in the order twice and forgotten with the later entry.
+// expire removes calls that ended more than rememberEnded ago. A call that was
+// retried and ended again has two entries and is removed with the later one.
 func (b *requestBook) expire(now time.Duration) {
 	n := 0
 	for n < len(b.order) && now-b.order[n].at > rememberEnded {
@@ -103,9 +103,9 @@
 	}
 }
 
-// dispatch sends a call under the epoch of the slots lease. A lease that ran
-// out while its holder was paused has no epoch to send under, so the call goes
-// back to the router as not run.
+// dispatch sends a call under the epoch of the slots lease. If the lease expired
+// while this host was paused, there is no epoch to send under, and the call is
+// returned to the router as not run.
 func (e *Engine) dispatch(cmd request.Dispatch) {
 	key := lease.Key{Worker: cmd.Worker, Class: ports.ClassSlots}
 	epoch, held := e.leases.Epoch(key, e.now)
@@ -140,8 +140,8 @@
 	e.claim(ev)
 }
 
-// requestFinished settles a call. A refusal for a stale epoch or a lapsed
-// lease is news for the lease manager as well.
+// requestFinished handles the end of a call. A refusal for a stale epoch or a
+// lapsed lease is also passed to the lease manager.
 func (e *Engine) requestFinished(ev RequestFinished) {
 	id := ev.Finished.ID
 	if sent, ok := e.calls.end(id, e.now); ok && ev.Finished.Result.MayStillRun() {
@@ -163,7 +163,7 @@
 	e.idleIfQuiet(ev.Worker)
 }
 
-// idleIfQuiet lets a handover of a worker go on once no call is on its way.
+// idleIfQuiet lets the handover of a worker continue once no call is in flight.
 func (e *Engine) idleIfQuiet(worker ident.WorkerID) {
 	if worker != "" && e.router.InFlight(worker) == 0 {
 		e.stepLeases(lease.Idle{Key: lease.Key{Worker: worker, Class: ports.ClassSlots}})
--- a/engine/units.go
+++ b/engine/units.go
@@ -11,21 +11,21 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// demandFor is how long a wish for units counts without being repeated.
+// demandFor is how long a demand for units counts without being repeated.
 const demandFor = 2 * time.Second
 
-// demand collects the units that waiting work lacks, by team.
+// demand collects the limit units that waiting work lacks, by team.
 type demand struct {
 	requests map[ident.TeamID]wish
 	tasks    map[ident.TeamID]wish
 	told     map[ident.TeamID]int64
 }
 
-// wish is a number of units lacked at a time.
+// wish is a number of lacking units and when it was last reported.
 type wish struct {
 	units int64
 	at    time.Duration
-	fresh bool // since the last tick
+	fresh bool // reported since the last tick; at is not set yet
 }
 
 func newDemand() demand {
@@ -36,7 +36,7 @@
 
 func (d *demand) task(team ident.TeamID, units int64) { note(d.tasks, team, units) }
 
-// note keeps the largest wish since the last tick.
+// note records a demand. It keeps the largest since the last tick.
 func note(wishes map[ident.TeamID]wish, team ident.TeamID, units int64) {
 	w := wishes[team]
 	if w.fresh {
@@ -45,7 +45,8 @@
 	wishes[team] = wish{units: units, fresh: true}
 }
 
-// settle stamps fresh wishes, forgets old ones and sums up the rest.
+// settle sets the time of fresh demands, removes expired ones and returns the
+// sum of the rest by team.
 func (d *demand) settle(now time.Duration) map[ident.TeamID]int64 {
 	sum := map[ident.TeamID]int64{}
 	for _, wishes := range []map[ident.TeamID]wish{d.requests, d.tasks} {
@@ -64,7 +65,7 @@
 	return sum
 }
 
-// tickDemand tells the ledger what waits, when that has changed.
+// tickDemand reports the demand to the ledger if it has changed.
 func (e *Engine) tickDemand() {
 	e.calls.expire(e.now)
 	e.expireLingering()
@@ -118,7 +119,8 @@
 	}
 }
 
-// unitsChanged lets work start that waited for units.
+// unitsChanged lets the request path and the scheduler start work that waited
+// for units.
 func (e *Engine) unitsChanged(teams []ident.TeamID) {
 	e.stepRouter(request.Tick{})
 	for _, team := range teams {
@@ -126,8 +128,8 @@
 	}
 }
 
-// dethrone stops this life of the host. Its units are others' now, so it must
-// start nothing; what it runs was counted by those who took them over.
+// dethrone stops this incarnation of the host. Its units were taken over by other
+// hosts, so it must start nothing; its running tasks are counted by those hosts.
 func (e *Engine) dethrone(by ident.Holder) {
 	e.dethroned = true
 	reason := "its limit units were taken over"
