--- a/engine/zone.go
+++ b/engine/zone.go
@@ -14,61 +14,63 @@
 	"github.com/fireflyfold/fireflyfold/sched"
 )
 
-// zoneScheduler is the durable work of the zone, on the host that schedules
-// it. Services run as soon as compute leases are held; jobs as soon as this
-// host owns the zone's stream as well.
+// zoneScheduler is the state of the zone's services and jobs on the host that
+// schedules the zone. Services run as soon as compute leases are held; jobs also
+// require that this host owns the zone's stream.
 type zoneScheduler struct {
 	sched    *sched.Scheduler
 	limits   *zoneLimits
-	epoch    jobs.Epoch // of the owned stream; zero while it is not owned
-	life     uint64     // tells the schedulers of one life of the host apart
+	epoch    jobs.Epoch // of the owned stream; zero while this host does not own it
+	life     uint64     // number of this scheduler within the host's incarnation
 	workers  map[ident.WorkerID]*zoneWorker
 	attempts attemptBook
 	services map[ident.ServiceID]fleet.Service
 
-	// opened is set once every listed worker was gained or failed to answer, or
-	// openBy has passed. Before, the scheduler sees workers without room: with
-	// room on the first worker gained, it would start replicas there that run
-	// on the others already.
+	// opened is set once, for every listed worker, the lease was gained or the
+	// worker failed to answer, or once openBy has passed. Before that, workers
+	// have no capacity in the scheduler: it would otherwise start replicas on the
+	// first worker gained that already run on other workers.
 	opened bool
 	openBy time.Duration
-	failed map[ident.WorkerID]bool // did not answer since the start
+	failed map[ident.WorkerID]bool // workers that failed to answer a lease call
 
-	yieldTo time.Duration // leaves the stream to its new owner until then; zero for not
+	yieldTo time.Duration // ownership is not requested before this time; zero for no wait
 
 	recovery   *jobs.Recovery
 	recovering map[ident.JobID]int // open attempts of earlier owners to settle
 }
 
-// zoneWorker is one worker of the zone as the scheduler sees it.
+// zoneWorker is the state of one worker of the zone.
 type zoneWorker struct {
 	id     ident.WorkerID
 	rack   string
 	size   resource.Vector
-	held   bool // the compute lease is held
+	held   bool // this host holds the compute lease
 	epoch  ports.Epoch
 	boot   uint64
-	tasks  []ports.TaskReport // of the last report
-	sentAt time.Duration      // when that report was asked for
+	tasks  []ports.TaskReport // from the last report
+	sentAt time.Duration      // when that report was requested
 	lostAt time.Duration      // when the lease was lost, while it is not held
-	// foreign are running tasks that the scheduler does not know yet: of jobs
-	// that are not restored, or of another owner. Their room is taken.
+	// foreign is the sum of the resources of running tasks unknown to the
+	// scheduler: those of jobs that are not restored yet, or of another owner.
 	foreign resource.Vector
-	marked  bool // takes nothing new, by the list or by an operator
-	quiet   bool // is being handed over to another host
+	marked  bool // accepts no new work: leaving by the host list, or marked by an operator
+	quiet   bool // being handed over to another host: no new starts
 }
 
-// zoneLimits gives the scheduler the units of this host, and keeps the units
-// of adopted tasks, which a dead holder still holds, out of its account.
+// zoneLimits provides the limit units of this host to the scheduler. It excludes
+// the units of adopted tasks, which a dead holder still holds.
 type zoneLimits struct {
 	units    *ledger.Holder
-	borrowed map[ident.TeamID]int64 // to be returned to nobody by the next Done
+	borrowed map[ident.TeamID]int64 // units that the next Done must not return
 }
 
-// TryUse implements sched.Limits.
+// TryUse implements sched.Limits: it takes units of a team's limit from those of
+// this host and reports whether enough were free.
 func (l *zoneLimits) TryUse(team ident.TeamID, units int64) bool { return l.units.TryUse(team, units) }
 
-// Done implements sched.Limits.
+// Done implements sched.Limits: it returns units to this host, except borrowed
+// units.
 func (l *zoneLimits) Done(team ident.TeamID, units int64) {
 	skip := min(l.borrowed[team], units)
 	l.borrowed[team] -= skip
@@ -95,11 +97,11 @@
 	}
 }
 
-// openTTLs is how many lease TTLs a new scheduler waits for the workers of its
-// zone: one for the earlier holder's leases to run out, and one to ask again.
+// openTTLs is the number of lease TTLs that a new scheduler waits for the workers
+// of its zone: one for the earlier holder's leases to expire, one to ask again.
 const openTTLs = 2
 
-// leaseTTL is the control lease's length in force.
+// leaseTTL returns the TTL of control leases.
 func (e *Engine) leaseTTL() time.Duration {
 	if e.opts.Lease.TTL > 0 {
 		return e.opts.Lease.TTL
@@ -107,7 +109,7 @@
 	return lease.DefaultTTL
 }
 
-// tryOpen gives the workers' room to the scheduler once their replicas are
+// tryOpen adds the workers' capacity to the scheduler once their replicas are
 // known.
 func (e *Engine) tryOpen() {
 	z := e.zone
@@ -133,9 +135,9 @@
 	e.applyMarks()
 }
 
-// schedulerWanted starts or ends this host's work as the zone's scheduler.
-// Nothing is stopped at the end: what runs is found by the successor, on the
-// workers and in the log.
+// schedulerWanted starts or ends scheduling of the zone by this host. Ending it
+// stops no task: the next scheduler finds the running tasks on the workers and
+// in the log.
 func (e *Engine) schedulerWanted(wanted bool) {
 	switch {
 	case wanted && e.zone == nil:
@@ -174,7 +176,8 @@
 	}
 }
 
-// configureZone puts shares and services in force in the scheduler.
+// configureZone applies teams, services and marks of the configuration to the
+// scheduler.
 func (e *Engine) configureZone() {
 	state := e.config.state()
 	if e.zone == nil || state == nil {
@@ -218,18 +221,19 @@
 	}
 }
 
-// serviceJob names the replicas that this scheduler starts. The name of the
-// service stands in for the number, so that it is the same at every call.
+// serviceJob returns the job identifier for the replicas of a service that this
+// scheduler starts. Its sequence number is derived from the service's name and
+// is the same at every call.
 //
-// It guards against a replica that runs in two places under one name: a host
-// that loses the stream and wins it back has a new scheduler, which does not
-// know of replicas started a moment before and numbers its own from the start.
-// The number of the scheduler in the name keeps them apart.
+// A host that loses the stream and regains it has a new scheduler, which does
+// not know the replicas started shortly before and numbers its own from the
+// beginning. Two replicas could then run under one name. The sequence number
+// therefore also depends on the number of the scheduler.
 func (e *Engine) serviceJob(id ident.ServiceID) ident.JobID {
 	return ident.JobID{Zone: e.opts.Zone, Host: e.opts.Self.Host, Incarnation: e.opts.Self.Incarnation, Seq: serviceSeq(id, e.zone.life)}
 }
 
-// markCompute tells the scheduler that a worker takes nothing new.
+// markCompute drains, cordons or uncordons a worker in the scheduler.
 func (e *Engine) markCompute(id ident.WorkerID, leaving bool) {
 	if e.zone == nil {
 		return
@@ -257,8 +261,8 @@
 	}
 }
 
-// addWorker tells the scheduler of a worker and of the room it has for what
-// the scheduler knows.
+// addWorker adds a worker to the scheduler with the capacity that foreign tasks
+// leave, or without capacity until the zone is opened.
 func (e *Engine) addWorker(w *zoneWorker) {
 	if !e.zone.opened {
 		e.stepSched(sched.WorkerAdded{Worker: w.id, Rack: w.rack})
