--- a/engine/membership.go
+++ b/engine/membership.go
@@ -18,16 +18,16 @@
 		case member.SendDigest:
 			e.emit(SendDigest{Host: cmd.Host, Addr: cmd.Addr, Digest: cmd.Digest})
 		case member.Want:
-			e.want(lease.Key{Worker: cmd.Worker, Class: cmd.Class}, cmd.Wanted)
+			e.wantLease(lease.Key{Worker: cmd.Worker, Class: cmd.Class}, cmd.Wanted)
 		case member.SchedulerWanted:
 			e.schedulerWanted(cmd.Wanted)
 		}
 	}
 }
 
-// want forwards whether membership wants a lease to the lease manager. While a
+// wantLease forwards whether membership wants a lease to the lease manager. While a
 // compute lease is covered by a promise to another host, it is not wanted.
-func (e *Engine) want(key lease.Key, wanted bool) {
+func (e *Engine) wantLease(key lease.Key, wanted bool) {
 	if key.Class == ports.ClassCompute && e.reclaim.promised(key.Worker) {
 		e.reclaim.wishes[key.Worker] = wanted
 		wanted = false
@@ -38,7 +38,7 @@
 func (e *Engine) listed(ev Listed) {
 	e.stepMembers(member.ListRead{Listing: ev.Listing})
 	e.applyMarks()
-	e.listedHosts(ev.Listing)
+	e.hostsListed(ev.Listing)
 }
 
 func (e *Engine) digestReceived(d member.Digest) {
@@ -65,15 +65,15 @@
 	e.stepRouter(request.PeerGone{Host: host})
 }
 
-// loadEvery is the interval at which the load in digests is refreshed.
-const loadEvery = 100 * time.Millisecond
+// loadInterval is the interval at which the load in digests is refreshed.
+const loadInterval = 100 * time.Millisecond
 
 // reportLoad updates the load that membership puts into digests.
 func (e *Engine) reportLoad() {
 	if e.now < e.loadNext {
 		return
 	}
-	e.loadNext = e.now + loadEvery
+	e.loadNext = e.now + loadInterval
 	load := member.Load{
 		FreeSlots: int(e.router.Free()),
 		Waiting:   e.router.Waiting(),
@@ -128,9 +128,9 @@
 	Holder    ident.Holder
 }
 
-// viewEvery bounds the delay until the view omits a host that no longer sends
+// viewInterval bounds the delay until the view omits a host that no longer sends
 // digests. Received digests and ownership of the job stream take effect at once.
-const viewEvery = 200 * time.Millisecond
+const viewInterval = 200 * time.Millisecond
 
 // publishView publishes a new view if it has changed.
 func (e *Engine) publishView() {
@@ -139,7 +139,7 @@
 		return
 	}
 	e.viewOf = changes
-	e.viewNext = e.now + viewEvery
+	e.viewNext = e.now + viewInterval
 	view := View{Schedules: e.Schedules()}
 	for _, p := range e.members.Live(e.now) {
 		view.Hosts = append(view.Hosts, viewHost(p))
--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -95,10 +95,10 @@
 	}
 	wanted := e.reclaim.wishes[worker]
 	delete(e.reclaim.wishes, worker)
-	e.want(lease.Key{Worker: worker, Class: ports.ClassCompute}, wanted)
+	e.wantLease(lease.Key{Worker: worker, Class: ports.ClassCompute}, wanted)
 }
 
-func (e *Engine) listedHosts(l ports.Listing) {
+func (e *Engine) hostsListed(l ports.Listing) {
 	r := e.reclaim
 	r.zoneHosts = r.zoneHosts[:0]
 	clear(r.listed)
