--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -35,12 +35,12 @@
 	e.stepOwner(jobs.Propose{ID: e.proposalID, Body: body, Deadline: deadline})
 }
 
-// reportsEnd reports whether a proposal records the end of an attempt or a job.
+// recordsEnd reports whether a proposal records the end of an attempt or a job.
 // No caller retries such a record, so it must not be dropped while this host
 // owns the stream.
-func reportsEnd(p proposal) bool {
+func recordsEnd(p proposal) bool {
 	switch p.(type) {
-	case *ending, *jobEnding, *resolution, *dropped:
+	case *ending, *jobEnding, *resolution, *droppedAttempt:
 		return true
 	}
 	return false
@@ -53,19 +53,19 @@
 // would stay in use forever. Such a record is therefore proposed again until it
 // takes effect or another host owns the stream.
 func (e *Engine) voided(p sentProposal, ev jobs.Void) {
-	if ev.Reason == jobs.VoidFull && reportsEnd(p.proposal) {
+	if ev.Reason == jobs.VoidFull && recordsEnd(p.proposal) {
 		e.refusedEnds = append(e.refusedEnds, p)
 		return
 	}
 	p.void(e, ev)
 }
 
-// endsPerTick is the maximum number of refused ends proposed again per tick.
-const endsPerTick = 1024
+// maxEndsPerTick is the maximum number of refused ends proposed again per tick.
+const maxEndsPerTick = 1024
 
 // retryEnds proposes refused ends again.
 func (e *Engine) retryEnds() {
-	n := min(len(e.refusedEnds), endsPerTick)
+	n := min(len(e.refusedEnds), maxEndsPerTick)
 	due := e.refusedEnds[:n:n]
 	e.refusedEnds = e.refusedEnds[n:]
 	for _, p := range due {
@@ -127,16 +127,16 @@
 		e.start(p.a)
 		return
 	}
-	e.propose(&dropped{}, endedRecord(p.a.ID, jobs.ResultNeverStarted, "given up before its start"), 0)
+	e.propose(&droppedAttempt{}, endedRecord(p.a.ID, jobs.ResultNeverStarted, "given up before its start"), 0)
 }
 
-// dropped is the proposal of the end of an attempt that was dropped before its
+// droppedAttempt is the proposal of the end of an attempt that was droppedAttempt before its
 // start. Nothing follows from its result.
-type dropped struct{}
+type droppedAttempt struct{}
 
-func (*dropped) effective(*Engine, bool) {}
-func (*dropped) void(*Engine, jobs.Void) {}
-func (*dropped) undecided(*Engine)       {}
+func (*droppedAttempt) effective(*Engine, bool) {}
+func (*droppedAttempt) void(*Engine, jobs.Void) {}
+func (*droppedAttempt) undecided(*Engine)       {}
 
 func (p *assignment) void(e *Engine, _ jobs.Void) {
 	if e.zone == nil || !e.zone.attempts.has(p.a) {
--- a/engine/pump.go
+++ b/engine/pump.go
@@ -5,21 +5,21 @@
 // is executed while another one is.
 type pump[C any] struct {
 	queue []C
-	busy  bool
+	running  bool
 }
 
 // run queues cmds and executes the queue with do, unless an outer call of run
 // is already doing so.
 func (p *pump[C]) run(cmds []C, do func(C)) {
 	p.queue = append(p.queue, cmds...)
-	if p.busy {
+	if p.running {
 		return
 	}
-	p.busy = true
+	p.running = true
 	for i := 0; i < len(p.queue); i++ {
 		do(p.queue[i])
 	}
 	clear(p.queue)
 	p.queue = p.queue[:0]
-	p.busy = false
+	p.running = false
 }
--- a/engine/quarantine.go
+++ b/engine/quarantine.go
@@ -7,9 +7,9 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// quarantineEvery is the interval at which changes of the set of quarantined
+// quarantineInterval is the interval at which changes of the set of quarantined
 // workers are reported to operators.
-const quarantineEvery = time.Second
+const quarantineInterval = time.Second
 
 // quarantineWatch holds the workers that were quarantined by the request path
 // at the last check.
@@ -25,7 +25,7 @@
 	if e.now < w.nextAt {
 		return
 	}
-	w.nextAt = e.now + quarantineEvery
+	w.nextAt = e.now + quarantineInterval
 	now := e.router.Quarantined()
 	for _, id := range now {
 		if !slices.Contains(w.known, id) {
