--- a/engine/membership.go
+++ b/engine/membership.go
@@ -29,7 +29,7 @@
 // compute lease is covered by a promise to another host, it is not wanted.
 func (e *Engine) wantLease(key lease.Key, wanted bool) {
 	if key.Class == ports.ClassCompute && e.reclaim.promised(key.Worker) {
-		e.reclaim.wishes[key.Worker] = wanted
+		e.reclaim.wanted[key.Worker] = wanted
 		wanted = false
 	}
 	e.stepLeases(lease.Want{Key: key, Wanted: wanted})
--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// promiseFor is how long a promise not to take a lease lasts unless the host
+	// promiseTTL is how long a promise not to take a lease lasts unless the host
 	// that asked for it releases it earlier.
-	promiseFor = 2 * time.Minute
-	// reclaimEvery is the interval between checks for dead holders.
-	reclaimEvery = time.Second
+	promiseTTL = 2 * time.Minute
+	// reclaimInterval is the interval between checks for dead holders.
+	reclaimInterval = time.Second
 	// suspectAfter is how long a holder of the zone must not have been heard
 	// from before it is suspected. Suspicion alone has no effect; units are
 	// reclaimed only after proof that the holder can start nothing.
@@ -29,14 +29,14 @@
 // reclaiming dead holders' units.
 type reclaimWatch struct {
 	promises  map[ident.WorkerID]time.Duration // expiry by worker
-	wishes    map[ident.WorkerID]bool          // whether membership wants the lease of a promised worker
+	wanted    map[ident.WorkerID]bool          // whether membership wants the lease of a promised worker
 	heldOff   map[ident.WorkerID]bool          // recovery waits for the worker's tasks to stop
-	newest    map[promiseSource]uint64         // highest Order received
-	asks      uint64                           // last Order sent
+	lastOrder    map[promiseSource]uint64         // highest Order received
+	ordersSent      uint64                           // last Order sent
 	zoneHosts []ident.HostID                   // hosts of this zone in the host list, sorted
 	listed    map[ident.HostID]bool            // all hosts in the host list
 
-	proof   *ledger.Reclaimer
+	reclaimer   *ledger.Reclaimer
 	workers map[ident.WorkerID]bool // workers of the zone last passed to the reclaimer
 	nextAt  time.Duration
 	left    bool // this host has left the ledger, as requested by the drain
@@ -52,11 +52,11 @@
 func newReclaimWatch(opts Options) *reclaimWatch {
 	return &reclaimWatch{
 		promises: map[ident.WorkerID]time.Duration{},
-		wishes:   map[ident.WorkerID]bool{},
+		wanted:   map[ident.WorkerID]bool{},
 		heldOff:  map[ident.WorkerID]bool{},
-		newest:   map[promiseSource]uint64{},
+		lastOrder:   map[promiseSource]uint64{},
 		listed:   map[ident.HostID]bool{},
-		proof:    ledger.NewReclaimer(opts.Self, opts.ListLag),
+		reclaimer:    ledger.NewReclaimer(opts.Self, opts.ListLag),
 	}
 }
 
@@ -72,7 +72,7 @@
 // reached the worker and prolonged them.
 func (e *Engine) holdOff(worker ident.WorkerID) {
 	if !e.reclaim.promised(worker) {
-		e.reclaim.wishes[worker] = e.members.Scheduler()
+		e.reclaim.wanted[worker] = e.members.Scheduler()
 	}
 	e.reclaim.heldOff[worker] = true
 	e.stepLeases(lease.Want{Key: lease.Key{Worker: worker, Class: ports.ClassCompute}, Wanted: false})
@@ -84,17 +84,17 @@
 		return
 	}
 	delete(e.reclaim.heldOff, worker)
-	e.regain(worker)
+	e.applyWanted(worker)
 }
 
-// regain applies whether membership wants a worker's compute lease, if no
+// applyWanted applies whether membership wants a worker's compute lease, if no
 // promise or holdOff covers the worker any more.
-func (e *Engine) regain(worker ident.WorkerID) {
+func (e *Engine) applyWanted(worker ident.WorkerID) {
 	if e.reclaim.promised(worker) {
 		return
 	}
-	wanted := e.reclaim.wishes[worker]
-	delete(e.reclaim.wishes, worker)
+	wanted := e.reclaim.wanted[worker]
+	delete(e.reclaim.wanted, worker)
 	e.wantLease(lease.Key{Worker: worker, Class: ports.ClassCompute}, wanted)
 }
 
@@ -113,31 +113,31 @@
 	e.zoneWorkersListed()
 }
 
-// emitPromise asks a peer for a promise or releases it from one.
-func (e *Engine) emitPromise(host ident.HostID, ask AskPromise) {
+// sendAskPromise asks a peer for a promise or releases it from one.
+func (e *Engine) sendAskPromise(host ident.HostID, ask AskPromise) {
 	for _, p := range e.view.Hosts {
 		if p.Host == host {
-			e.reclaim.asks++
+			e.reclaim.ordersSent++
 			ask.Host = host
 			ask.Addr = p.Addr
 			ask.From = e.opts.Self
-			ask.Order = e.reclaim.asks
+			ask.Order = e.reclaim.ordersSent
 			e.emit(ask)
 			return
 		}
 	}
 }
 
-// maxQuestions bounds the number of sources in reclaimWatch.newest.
-const maxQuestions = 4096
+// maxPromiseSources bounds the number of sources in reclaimWatch.lastOrder.
+const maxPromiseSources = 4096
 
-// remember records the highest Order of a source. Hosts are replaced over time,
+// recordOrder records the highest Order of a source. Hosts are replaced over time,
 // so at the bound the sources without a promise in force are removed.
-func (r *reclaimWatch) remember(source promiseSource, order uint64) {
-	if len(r.newest) >= maxQuestions {
-		maps.DeleteFunc(r.newest, func(s promiseSource, _ uint64) bool { return !r.promised(s.worker) })
+func (r *reclaimWatch) recordOrder(source promiseSource, order uint64) {
+	if len(r.lastOrder) >= maxPromiseSources {
+		maps.DeleteFunc(r.lastOrder, func(s promiseSource, _ uint64) bool { return !r.promised(s.worker) })
 	}
-	r.newest[source] = order
+	r.lastOrder[source] = order
 }
 
 // promiseAsked gives up the compute lease of a worker for a peer that settles
@@ -150,11 +150,11 @@
 // not higher than the last are therefore ignored.
 func (e *Engine) promiseAsked(ev PromiseAsked) {
 	source := promiseSource{from: ev.From, worker: ev.Worker}
-	if ev.Order <= e.reclaim.newest[source] {
+	if ev.Order <= e.reclaim.lastOrder[source] {
 		e.emit(PromiseReply{Call: ev.Call, From: e.opts.Self})
 		return
 	}
-	e.reclaim.remember(source, ev.Order)
+	e.reclaim.recordOrder(source, ev.Order)
 	key := lease.Key{Worker: ev.Worker, Class: ports.ClassCompute}
 	if ev.Release {
 		e.endPromise(ev.Worker)
@@ -162,9 +162,9 @@
 		return
 	}
 	if !e.reclaim.promised(ev.Worker) {
-		e.reclaim.wishes[ev.Worker] = e.members.Scheduler()
+		e.reclaim.wanted[ev.Worker] = e.members.Scheduler()
 	}
-	e.reclaim.promises[ev.Worker] = e.now + promiseFor
+	e.reclaim.promises[ev.Worker] = e.now + promiseTTL
 	e.stepLeases(lease.Want{Key: key, Wanted: false})
 	e.emit(PromiseReply{Call: ev.Call, From: e.opts.Self, Given: e.leases.Left(key, e.now) == 0})
 }
@@ -174,7 +174,7 @@
 		return
 	}
 	delete(e.reclaim.promises, worker)
-	e.regain(worker)
+	e.applyWanted(worker)
 }
 
 func (e *Engine) promiseAnswered(ev PromiseAnswered) {
@@ -186,35 +186,35 @@
 // tickReclaim ends expired promises and, on the zone's scheduler, reclaims the
 // units of dead holders of the zone.
 func (e *Engine) tickReclaim() {
-	for _, worker := range e.duePromises() {
+	for _, worker := range e.expiredPromises() {
 		e.endPromise(worker)
 	}
 	if e.now < e.reclaim.nextAt {
 		return
 	}
-	e.reclaim.nextAt = e.now + reclaimEvery
+	e.reclaim.nextAt = e.now + reclaimInterval
 	e.tickLeft()
 	if !e.Schedules() || e.zone.recovery != nil || !e.sizesKnown() {
 		return // some tasks of dead holders may not be adopted yet
 	}
-	e.watchHolders()
+	e.checkHolders()
 }
 
-func (e *Engine) duePromises() []ident.WorkerID {
-	var due []ident.WorkerID
+func (e *Engine) expiredPromises() []ident.WorkerID {
+	var expired []ident.WorkerID
 	for worker, until := range e.reclaim.promises {
 		if e.now >= until {
-			due = append(due, worker)
+			expired = append(expired, worker)
 		}
 	}
-	slices.Sort(due)
-	return due
+	slices.Sort(expired)
+	return expired
 }
 
-// watchHolders reports suspected holders of the zone to the reclaimer and
+// checkHolders reports suspected holders of the zone to the reclaimer and
 // collects the proof that they can start nothing: the present lease holder of
 // each worker.
-func (e *Engine) watchHolders() {
+func (e *Engine) checkHolders() {
 	suspects := e.suspects()
 	if len(suspects) == 0 {
 		return
@@ -330,7 +330,7 @@
 }
 
 func (e *Engine) stepReclaimer(ev ledger.ReclaimEvent) {
-	for _, cmd := range e.reclaim.proof.Step(e.now, ev) {
+	for _, cmd := range e.reclaim.reclaimer.Step(e.now, ev) {
 		if proved, ok := cmd.(ledger.Proved); ok {
 			e.reclaimProved(proved)
 		}
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -212,9 +212,9 @@
 func (e *Engine) recoveryCommand(cmd jobs.RecoveryCommand) {
 	switch cmd := cmd.(type) {
 	case jobs.AskPromise:
-		e.emitPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Seq: cmd.Seq})
+		e.sendAskPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Seq: cmd.Seq})
 	case jobs.ReleasePromise:
-		e.emitPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Release: true})
+		e.sendAskPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Release: true})
 	case jobs.HoldOff:
 		e.holdOff(cmd.Worker)
 	case jobs.Resume:
@@ -321,7 +321,7 @@
 	}
 	for _, worker := range e.zone.recovery.Workers() {
 		for _, host := range e.zoneHosts().Hosts {
-			e.emitPromise(host, AskPromise{Worker: worker, Release: true})
+			e.sendAskPromise(host, AskPromise{Worker: worker, Release: true})
 		}
 		e.resume(worker)
 	}
