--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -14,7 +14,7 @@
 // Intervals of a recovery.
 const (
 	callInFlight = 2 * time.Second // maximum time from sending a call to its arrival
-	askPromises  = time.Second     // interval between requests for the same peer's promise
+	promiseAskInterval  = time.Second     // interval between requests for the same peer's promise
 )
 
 func (e *Engine) recoveryConfig() jobs.RecoveryConfig {
@@ -23,7 +23,7 @@
 		TaskTTL:  ttl,
 		Drift:    time.Duration(float64(ttl) * e.opts.Lease.Drift),
 		InFlight: callInFlight,
-		AskEvery: askPromises,
+		AskEvery: promiseAskInterval,
 	}
 }
 
@@ -36,7 +36,7 @@
 	if epoch, owns := e.owner.Epoch(); !owns || epoch != ev.Epoch {
 		return // ownership was lost in the same step: a later fence was read
 	}
-	e.takeStream(ev, ev.Epoch)
+	e.takeOverStream(ev, ev.Epoch)
 }
 
 // resumeStream takes over the stream again if this host still owns it. This
@@ -49,20 +49,20 @@
 	if e.zone.epoch != 0 || !owns || len(e.proposals) > 0 || len(e.refusedEnds) > 0 {
 		return
 	}
-	const ofNoEpoch = 0
-	e.takeStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, ofNoEpoch)
+	const noOwnEpoch = 0
+	e.takeOverStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, noOwnEpoch)
 }
 
-// takeStream restores the stream's jobs. Open attempts of epochs other than own
+// takeOverStream restores the stream's jobs. Open attempts of epochs other than ownEpoch
 // are settled first.
-func (e *Engine) takeStream(ev jobs.BecameOwner, own jobs.Epoch) {
+func (e *Engine) takeOverStream(ev jobs.BecameOwner, ownEpoch jobs.Epoch) {
 	e.note(NoteScheduler, "schedules zone "+string(e.opts.Zone))
 	if !ev.Whole {
 		e.note(NoteScheduler, "records of the zone's jobs had expired before they were written again: jobs may be missing")
 	}
 	e.zone.epoch = ev.Epoch
 	open := e.owner.State().Open()
-	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), own, open)
+	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), ownEpoch, open)
 	for _, o := range open {
 		e.zone.recovering[o.Attempt.Job]++
 	}
@@ -253,7 +253,7 @@
 	if !w.marked {
 		e.addWorker(w)
 	}
-	e.settled(id.Job)
+	e.attemptSettled(id.Job)
 }
 
 // resolveAttempt records the end of an attempt that no longer runs.
@@ -290,7 +290,7 @@
 		e.ackTask(p.cmd.Attempt.Worker, taskName("", p.cmd.Attempt.Attempt))
 	}
 	e.leftOver(p.cmd.Attempt.Attempt)
-	e.settled(p.cmd.Attempt.Attempt.Job)
+	e.attemptSettled(p.cmd.Attempt.Attempt.Job)
 }
 
 func (p *resolution) void(e *Engine, ev jobs.Void) {
@@ -301,9 +301,9 @@
 
 func (p *resolution) undecided(*Engine) {}
 
-// settled counts a settled attempt of a job and passes the job to the scheduler
+// attemptSettled counts a attemptSettled attempt of a job and passes the job to the scheduler
 // after the last one.
-func (e *Engine) settled(job ident.JobID) {
+func (e *Engine) attemptSettled(job ident.JobID) {
 	e.zone.recovering[job]--
 	if e.zone.recovering[job] > 0 {
 		return
@@ -340,17 +340,17 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// yieldFor is how long a host that lost the stream to another host waits before
+// yieldWait is how long a host that lost the stream to another host waits before
 // it requests ownership again. Two hosts may both consider themselves the zone's
 // scheduler for a short time; without the wait they would take the stream from
 // each other until their views agree.
-const yieldFor = 5 * time.Second
+const yieldWait = 5 * time.Second
 
-// tickYield requests ownership of the stream again after yieldFor, if this host
+// tickYield requests ownership of the stream again after yieldWait, if this host
 // still is to schedule the zone.
 func (e *Engine) tickYield() {
-	if e.zone.yieldTo != 0 && e.now >= e.zone.yieldTo {
-		e.zone.yieldTo = 0
+	if e.zone.yieldUntil != 0 && e.now >= e.zone.yieldUntil {
+		e.zone.yieldUntil = 0
 		e.stepOwner(jobs.WantOwnership{Want: true})
 	}
 }
@@ -368,7 +368,7 @@
 	e.leave(old)
 	e.zone = e.newZone()
 	if ev.Owner != e.opts.Self {
-		e.zone.yieldTo = e.now + yieldFor
+		e.zone.yieldUntil = e.now + yieldWait
 		e.stepOwner(jobs.WantOwnership{Want: false})
 	}
 	e.zone.failed = old.failed
--- a/engine/recovery_test.go
+++ b/engine/recovery_test.go
@@ -10,9 +10,9 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// restored restores a job of one task in a new scheduler, fails every attempt,
+// runRestoredJob restores a job of one task in a new scheduler, fails every attempt,
 // and returns the number of attempts and how the job ended.
-func restored(t *testing.T, spec work.Spec, task jobs.Task) (attempts int, end sched.JobEnded) {
+func runRestoredJob(t *testing.T, spec work.Spec, task jobs.Task) (attempts int, end sched.JobEnded) {
 	t.Helper()
 	e := &Engine{zone: &zoneScheduler{attempts: newAttemptBook()}}
 	job := &jobs.Job{Accepted: jobs.Accepted{
@@ -76,7 +76,7 @@
 		{"approval lost", once, jobs.Task{Attempts: 2, Refused: 1, Result: jobs.ResultLost}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			attempts, end := restored(t, c.spec, c.task)
+			attempts, end := runRestoredJob(t, c.spec, c.task)
 			if attempts != c.want {
 				t.Errorf("%d further attempts, want %d; the job ended as %+v", attempts, c.want, end)
 			}
--- a/engine/zone.go
+++ b/engine/zone.go
@@ -34,7 +34,7 @@
 	openBy time.Duration
 	failed map[ident.WorkerID]bool // workers that failed to answer a lease call
 
-	yieldTo time.Duration // ownership is not requested before this time; zero for no wait
+	yieldUntil time.Duration // ownership is not requested before this time; zero for no wait
 
 	recovery   *jobs.Recovery
 	recovering map[ident.JobID]int // open attempts of earlier owners to settle
