--- a/engine/reports.go
+++ b/engine/reports.go
@@ -86,7 +86,7 @@
 // it.
 func (e *Engine) settleOlderStarts(w *zoneWorker) {
 	for _, a := range e.zone.attempts.on(w.id) {
-		if a.lease >= w.epoch || a.phase != phaseStarting || reportOf(w.tasks, a) != nil {
+		if a.lease >= w.epoch || a.phase != phaseStarting || findReport(w.tasks, a) != nil {
 			continue
 		}
 		if a.boot != w.boot {
@@ -97,7 +97,7 @@
 	}
 }
 
-func reportOf(tasks []ports.TaskReport, a *attempt) *ports.TaskReport {
+func findReport(tasks []ports.TaskReport, a *attempt) *ports.TaskReport {
 	for i := range tasks {
 		if tasks[i].ID == a.name {
 			return &tasks[i]
@@ -117,9 +117,9 @@
 			e.applyTask(a, t)
 			continue
 		}
-		e.unknownTask(w, service, id, t)
+		e.reconcileUnknownTask(w, service, id, t)
 	}
-	e.findMissing(w)
+	e.endMissing(w)
 	e.stepRecovery(jobs.WorkerReport{Worker: w.id, Epoch: w.epoch, Boot: w.boot, Tasks: w.tasks})
 }
 
@@ -133,15 +133,15 @@
 	}
 	e.stepSched(sched.UsageReported{ID: a.ID, Ran: t.Ran, Usage: t.Usage})
 	if a.stop.control != "" {
-		e.stillRuns(a)
+		e.stopPending(a)
 		return
 	}
 	e.expectEnd(a, t.Ran)
 }
 
-// minLook is the minimum delay until a worker's report is fetched to detect the
+// minReportDelay is the minimum delay until a worker's report is fetched to detect the
 // end of a task.
-const minLook = 50 * time.Millisecond
+const minReportDelay = 50 * time.Millisecond
 
 // expectEnd schedules a fetch of the worker's report for when a task should end
 // by its declared run time, instead of at the next renewal: until the end is
@@ -157,13 +157,13 @@
 		left = -left / 2
 	}
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
-	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(left, minLook)})
+	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(left, minReportDelay)})
 }
 
-// unknownTask handles a task that this host did not start. Replicas are adopted,
+// reconcileUnknownTask handles a task that this host did not start. Replicas are adopted,
 // or stopped if their service is no longer declared. Attempts of jobs are left
 // to the recovery; an attempt that is closed in the log is stopped.
-func (e *Engine) unknownTask(w *zoneWorker, service ident.ServiceID, id ident.AttemptID, t ports.TaskReport) {
+func (e *Engine) reconcileUnknownTask(w *zoneWorker, service ident.ServiceID, id ident.AttemptID, t ports.TaskReport) {
 	switch {
 	case service != "" && t.Ended:
 		e.ackTask(w.id, t.ID)
@@ -223,11 +223,11 @@
 	e.zone.attempts.add(a)
 }
 
-// findMissing closes as lost the attempts that were running before the report
+// endMissing closes as lost the attempts that were running before the report
 // was requested and that the report does not list.
-func (e *Engine) findMissing(w *zoneWorker) {
+func (e *Engine) endMissing(w *zoneWorker) {
 	for _, a := range e.zone.attempts.on(w.id) {
-		if a.phase != phaseRunning || a.startedAt >= w.sentAt || reportOf(w.tasks, a) != nil {
+		if a.phase != phaseRunning || a.startedAt >= w.sentAt || findReport(w.tasks, a) != nil {
 			continue
 		}
 		e.endLost(a, "the worker no longer has it")
@@ -288,10 +288,10 @@
 	e.stepSched(sched.Tick{})
 	e.retryStarts()
 	e.stepRecovery(jobs.RecoveryTick{})
-	e.buryWorkers()
+	e.removeLostWorkers()
 }
 
-// buryWorkers removes workers whose lease was lost so long ago that no task
+// removeLostWorkers removes workers whose lease was lost so long ago that no task
 // started there by this host can still run.
 //
 // Without the wait, a task could be started again while its first run continues
@@ -301,20 +301,20 @@
 // that renewed the lease meanwhile would prolong the tasks. Attempts of jobs are
 // therefore settled by a recovery, which asks every host of the zone to promise
 // that it does not renew the lease.
-func (e *Engine) buryWorkers() {
-	var dead []*zoneWorker
+func (e *Engine) removeLostWorkers() {
+	var expired []*zoneWorker
 	for _, w := range e.zone.workers {
-		if !w.held && e.now-w.lostAt >= e.taskSpan() {
-			dead = append(dead, w)
+		if !w.held && e.now-w.lostAt >= e.maxTaskSurvival() {
+			expired = append(expired, w)
 		}
 	}
-	slices.SortFunc(dead, func(a, b *zoneWorker) int { return strings.Compare(string(a.id), string(b.id)) })
-	for _, w := range dead {
-		e.bury(w)
+	slices.SortFunc(expired, func(a, b *zoneWorker) int { return strings.Compare(string(a.id), string(b.id)) })
+	for _, w := range expired {
+		e.removeLostWorker(w)
 	}
 }
 
-func (e *Engine) bury(w *zoneWorker) {
+func (e *Engine) removeLostWorker(w *zoneWorker) {
 	var open []jobs.OpenAttempt
 	for _, a := range e.zone.attempts.on(w.id) {
 		if a.Service != "" {
@@ -331,8 +331,8 @@
 	e.stepSched(sched.WorkerRemoved{Worker: w.id})
 }
 
-// taskSpan returns how long a task may still run after the loss of its lease.
-func (e *Engine) taskSpan() time.Duration {
+// maxTaskSurvival returns how long a task may still run after the loss of its lease.
+func (e *Engine) maxTaskSurvival() time.Duration {
 	ttl := e.opts.Lease.TaskTTL
 	return ttl + time.Duration(float64(ttl)*e.opts.Lease.Drift) + e.leaseTTL()
 }
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -30,32 +30,32 @@
 	}
 	a.stop.control = control
 	a.stop.last = e.now
-	e.expectStop(a)
+	e.scheduleStopReport(a)
 }
 
 // sendStop sends the stop or checkpoint call again.
 func (e *Engine) sendStop(a *attempt) {
 	e.controlTask(a.Worker, a.name, a.stop.control)
 	a.stop.last = e.now
-	e.expectStop(a)
+	e.scheduleStopReport(a)
 }
 
-// stillRuns handles a report in which a task still runs after a stop or
+// stopPending handles a report in which a task still runs after a stop or
 // checkpoint. The call may have been lost, so it is repeated after stopRetry.
-func (e *Engine) stillRuns(a *attempt) {
+func (e *Engine) stopPending(a *attempt) {
 	if e.now >= a.stop.last+stopRetry {
 		e.sendStop(a)
 		return
 	}
-	e.expectStop(a)
+	e.scheduleStopReport(a)
 }
 
-// expectStop schedules a fetch of the worker's report soon after a stop or
+// scheduleStopReport schedules a fetch of the worker's report soon after a stop or
 // checkpoint was sent. Only a report shows that the task has ended: the urgent
 // work for which it is preempted would otherwise wait for the next renewal, which
 // may be seconds away. For a task that takes long to stop the interval grows.
-func (e *Engine) expectStop(a *attempt) {
+func (e *Engine) scheduleStopReport(a *attempt) {
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
 	waited := e.now - a.stop.first
-	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(waited/2, minLook)})
+	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(waited/2, minReportDelay)})
 }
