--- a/engine/requests.go
+++ b/engine/requests.go
@@ -22,7 +22,7 @@
 type requestBook struct {
 	sent      map[ident.TaskID]sentCall
 	ended     map[ident.TaskID]time.Duration
-	order     []endedCall // ended calls, oldest first
+	endedOrder     []endedCall // ended calls, oldest first
 	lingering map[ident.TaskID]lingeringCall
 }
 
@@ -39,9 +39,9 @@
 	}
 }
 
-// rememberEnded is how long an ended call is kept: longer than a worker's answer
+// endedRetention is how long an ended call is kept: longer than a worker's answer
 // to a renewal can take.
-const rememberEnded = 10 * time.Second
+const endedRetention = 10 * time.Second
 
 // accounted reports whether a running call, listed in a worker's report that was
 // requested at sentAt, is already counted by the request path.
@@ -66,7 +66,7 @@
 	}
 	delete(b.sent, id)
 	b.ended[id] = now
-	b.order = append(b.order, endedCall{id: id, at: now})
+	b.endedOrder = append(b.endedOrder, endedCall{id: id, at: now})
 	return sent, true
 }
 
@@ -74,13 +74,13 @@
 // retried and ended again has two entries and is removed with the later one.
 func (b *requestBook) expire(now time.Duration) {
 	n := 0
-	for n < len(b.order) && now-b.order[n].at > rememberEnded {
-		if old := b.order[n]; b.ended[old.id] == old.at {
+	for n < len(b.endedOrder) && now-b.endedOrder[n].at > endedRetention {
+		if old := b.endedOrder[n]; b.ended[old.id] == old.at {
 			delete(b.ended, old.id)
 		}
 		n++
 	}
-	b.order = b.order[n:]
+	b.endedOrder = b.endedOrder[n:]
 }
 
 func (e *Engine) stepRouter(ev request.Event) {
@@ -160,11 +160,11 @@
 		e.claimAnswered(id)
 	}
 	e.stepRouter(ev.Finished)
-	e.idleIfQuiet(ev.Worker)
+	e.reportSlotsIdle(ev.Worker)
 }
 
-// idleIfQuiet lets the handover of a worker continue once no call is in flight.
-func (e *Engine) idleIfQuiet(worker ident.WorkerID) {
+// reportSlotsIdle lets the handover of a worker continue once no call is in flight.
+func (e *Engine) reportSlotsIdle(worker ident.WorkerID) {
 	if worker != "" && e.router.InFlight(worker) == 0 {
 		e.stepLeases(lease.Idle{Key: lease.Key{Worker: worker, Class: ports.ClassSlots}})
 	}
--- a/engine/units.go
+++ b/engine/units.go
@@ -11,52 +11,52 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// demandFor is how long a demand for units counts without being repeated.
-const demandFor = 2 * time.Second
+// demandTTL is how long a demand for units counts without being repeated.
+const demandTTL = 2 * time.Second
 
 // demand collects the limit units that waiting work lacks, by team.
 type demand struct {
-	requests map[ident.TeamID]wish
-	tasks    map[ident.TeamID]wish
-	told     map[ident.TeamID]int64
+	requests map[ident.TeamID]unitDemand
+	tasks    map[ident.TeamID]unitDemand
+	reported     map[ident.TeamID]int64
 }
 
-// wish is a number of lacking units and when it was last reported.
-type wish struct {
+// unitDemand is a number of lacking units and when it was last reported.
+type unitDemand struct {
 	units int64
 	at    time.Duration
 	fresh bool // reported since the last tick; at is not set yet
 }
 
 func newDemand() demand {
-	return demand{requests: map[ident.TeamID]wish{}, tasks: map[ident.TeamID]wish{}}
+	return demand{requests: map[ident.TeamID]unitDemand{}, tasks: map[ident.TeamID]unitDemand{}}
 }
 
-func (d *demand) request(team ident.TeamID, units int64) { note(d.requests, team, units) }
+func (d *demand) request(team ident.TeamID, units int64) { recordDemand(d.requests, team, units) }
 
-func (d *demand) task(team ident.TeamID, units int64) { note(d.tasks, team, units) }
+func (d *demand) task(team ident.TeamID, units int64) { recordDemand(d.tasks, team, units) }
 
-// note records a demand. It keeps the largest since the last tick.
-func note(wishes map[ident.TeamID]wish, team ident.TeamID, units int64) {
-	w := wishes[team]
+// recordDemand records a demand. It keeps the largest since the last tick.
+func recordDemand(demands map[ident.TeamID]unitDemand, team ident.TeamID, units int64) {
+	w := demands[team]
 	if w.fresh {
 		units = max(units, w.units)
 	}
-	wishes[team] = wish{units: units, fresh: true}
+	demands[team] = unitDemand{units: units, fresh: true}
 }
 
 // settle sets the time of fresh demands, removes expired ones and returns the
 // sum of the rest by team.
 func (d *demand) settle(now time.Duration) map[ident.TeamID]int64 {
 	sum := map[ident.TeamID]int64{}
-	for _, wishes := range []map[ident.TeamID]wish{d.requests, d.tasks} {
-		for team, w := range wishes {
+	for _, demands := range []map[ident.TeamID]unitDemand{d.requests, d.tasks} {
+		for team, w := range demands {
 			if w.fresh {
-				w = wish{units: w.units, at: now}
-				wishes[team] = w
+				w = unitDemand{units: w.units, at: now}
+				demands[team] = w
 			}
-			if now-w.at > demandFor {
-				delete(wishes, team)
+			if now-w.at > demandTTL {
+				delete(demands, team)
 				continue
 			}
 			sum[team] += w.units
@@ -70,10 +70,10 @@
 	e.calls.expire(e.now)
 	e.expireLingering()
 	sum := e.demand.settle(e.now)
-	if maps.Equal(sum, e.demand.told) {
+	if maps.Equal(sum, e.demand.reported) {
 		return
 	}
-	e.demand.told = sum
+	e.demand.reported = sum
 	e.stepUnits(ledger.Waiting{Units: sum})
 }
 
@@ -98,7 +98,7 @@
 	case ledger.ReclaimVoid:
 		e.reclaimVoid(cmd.Dead)
 	case ledger.Dethroned:
-		e.dethrone(cmd.By)
+		e.reincarnate(cmd.By)
 	case ledger.HandedOver:
 		e.handedOver(cmd.ID)
 	case ledger.HandOverVoid:
@@ -128,9 +128,9 @@
 	}
 }
 
-// dethrone stops this incarnation of the host. Its units were taken over by other
+// reincarnate stops this incarnation of the host. Its units were taken over by other
 // hosts, so it must start nothing; its running tasks are counted by those hosts.
-func (e *Engine) dethrone(by ident.Holder) {
+func (e *Engine) reincarnate(by ident.Holder) {
 	e.dethroned = true
 	reason := "its limit units were taken over"
 	if !by.IsZero() {
