--- a/engine/zone.go
+++ b/engine/zone.go
@@ -21,7 +21,7 @@
 	sched    *sched.Scheduler
 	limits   *zoneLimits
 	epoch    jobs.Epoch // of the owned stream; zero while this host does not own it
-	life     uint64     // number of this scheduler within the host's incarnation
+	generation     uint64     // number of this scheduler within the host's incarnation
 	workers  map[ident.WorkerID]*zoneWorker
 	attempts attemptBook
 	services map[ident.ServiceID]fleet.Service
@@ -85,7 +85,7 @@
 	opts.Limits = limits
 	e.zoneLife++
 	return &zoneScheduler{
-		life:       e.zoneLife,
+		generation:       e.zoneLife,
 		sched:      sched.New(opts),
 		limits:     limits,
 		workers:    map[ident.WorkerID]*zoneWorker{},
@@ -93,13 +93,13 @@
 		services:   map[ident.ServiceID]fleet.Service{},
 		recovering: map[ident.JobID]int{},
 		failed:     map[ident.WorkerID]bool{},
-		openBy:     e.now + openTTLs*e.leaseTTL(),
+		openBy:     e.now + openWaitTTLs*e.leaseTTL(),
 	}
 }
 
-// openTTLs is the number of lease TTLs that a new scheduler waits for the workers
+// openWaitTTLs is the number of lease TTLs that a new scheduler waits for the workers
 // of its zone: one for the earlier holder's leases to expire, one to ask again.
-const openTTLs = 2
+const openWaitTTLs = 2
 
 // leaseTTL returns the TTL of control leases.
 func (e *Engine) leaseTTL() time.Duration {
@@ -230,7 +230,7 @@
 // beginning. Two replicas could then run under one name. The sequence number
 // therefore also depends on the number of the scheduler.
 func (e *Engine) serviceJob(id ident.ServiceID) ident.JobID {
-	return ident.JobID{Zone: e.opts.Zone, Host: e.opts.Self.Host, Incarnation: e.opts.Self.Incarnation, Seq: serviceSeq(id, e.zone.life)}
+	return ident.JobID{Zone: e.opts.Zone, Host: e.opts.Self.Host, Incarnation: e.opts.Self.Incarnation, Seq: serviceSeq(id, e.zone.generation)}
 }
 
 // markCompute drains, cordons or uncordons a worker in the scheduler.
