--- a/engine/membership.go
+++ b/engine/membership.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// wantLease forwards whether membership wants a lease to the lease manager. While a
-// compute lease is covered by a promise to another host, it is not wanted.
+// wantLease forwards whether membership wants a lease to the lease manager.
+// While a compute lease is covered by a promise to another host, it is not
+// wanted.
 func (e *Engine) wantLease(key lease.Key, wanted bool) {
 	if key.Class == ports.ClassCompute && e.reclaim.promised(key.Worker) {
 		e.reclaim.wanted[key.Worker] = wanted
@@ -128,8 +129,9 @@
 	Holder    ident.Holder
 }
 
-// viewInterval bounds the delay until the view omits a host that no longer sends
-// digests. Received digests and ownership of the job stream take effect at once.
+// viewInterval bounds the delay until the view omits a host that no longer
+// sends digests. Received digests and ownership of the job stream take effect
+// at once.
 const viewInterval = 200 * time.Millisecond
 
 // publishView publishes a new view if it has changed.
--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -119,9 +119,9 @@
 	zone *zoneScheduler
 }
 
-// effective starts the attempt. An attempt that was dropped while its record was
-// in flight is never started. Its end is recorded; otherwise it would stay open,
-// and its job unfinished, for as long as this host owns the stream.
+// effective starts the attempt. An attempt that was dropped while its record
+// was in flight is never started. Its end is recorded; otherwise it would stay
+// open, and its job unfinished, for as long as this host owns the stream.
 func (p *assignment) effective(e *Engine, _ bool) {
 	if e.zone != nil && e.zone == p.zone && e.zone.attempts.has(p.a) {
 		e.start(p.a)
@@ -130,8 +130,8 @@
 	e.propose(&droppedAttempt{}, endedRecord(p.a.ID, jobs.ResultNeverStarted, "given up before its start"), 0)
 }
 
-// droppedAttempt is the proposal of the end of an attempt that was droppedAttempt before its
-// start. Nothing follows from its result.
+// droppedAttempt is the proposal of the end of an attempt that was
+// droppedAttempt before its start. Nothing follows from its result.
 type droppedAttempt struct{}
 
 func (*droppedAttempt) effective(*Engine, bool) {}
@@ -166,7 +166,8 @@
 }
 
 // void closes the attempt if the log already holds its end. Otherwise this host
-// no longer owns the stream, and the next owner rebuilds the state from the log.
+// no longer owns the stream, and the next owner rebuilds the state from the
+// log.
 func (p *ending) void(e *Engine, ev jobs.Void) {
 	if ev.Reason == jobs.VoidRejected {
 		p.effective(e, false)
@@ -277,9 +278,10 @@
 	}}, ev.Deadline)
 }
 
-// admitJob returns a *JobRefusedError for a job that no worker of the zone could
-// ever run, or for which the backlog is too long. A repeated submission with the
-// same idempotency key is not refused; it is answered with the existing job.
+// admitJob returns a *JobRefusedError for a job that no worker of the zone
+// could ever run, or for which the backlog is too long. A repeated submission
+// with the same idempotency key is not refused; it is answered with the
+// existing job.
 func (e *Engine) admitJob(ev JobSubmitted) error {
 	if ev.Key != "" && e.owner.State().ByKey(keyHash(ev.Spec.Team, ev.Key)) != nil {
 		return nil
--- a/engine/pump.go
+++ b/engine/pump.go
@@ -4,8 +4,8 @@
 // may step the machine again; the resulting commands are queued, and no command
 // is executed while another one is.
 type pump[C any] struct {
-	queue []C
-	running  bool
+	queue   []C
+	running bool
 }
 
 // run queues cmds and executes the queue with do, unless an outer call of run
--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -28,18 +28,18 @@
 // reclaimWatch holds the promises of this host to peers and the state of
 // reclaiming dead holders' units.
 type reclaimWatch struct {
-	promises  map[ident.WorkerID]time.Duration // expiry by worker
-	wanted    map[ident.WorkerID]bool          // whether membership wants the lease of a promised worker
-	heldOff   map[ident.WorkerID]bool          // recovery waits for the worker's tasks to stop
-	lastOrder    map[promiseSource]uint64         // highest Order received
-	ordersSent      uint64                           // last Order sent
-	zoneHosts []ident.HostID                   // hosts of this zone in the host list, sorted
-	listed    map[ident.HostID]bool            // all hosts in the host list
+	promises   map[ident.WorkerID]time.Duration // expiry by worker
+	wanted     map[ident.WorkerID]bool          // whether membership wants the lease of a promised worker
+	heldOff    map[ident.WorkerID]bool          // recovery waits for the worker's tasks to stop
+	lastOrder  map[promiseSource]uint64         // highest Order received
+	ordersSent uint64                           // last Order sent
+	zoneHosts  []ident.HostID                   // hosts of this zone in the host list, sorted
+	listed     map[ident.HostID]bool            // all hosts in the host list
 
-	reclaimer   *ledger.Reclaimer
-	workers map[ident.WorkerID]bool // workers of the zone last passed to the reclaimer
-	nextAt  time.Duration
-	left    bool // this host has left the ledger, as requested by the drain
+	reclaimer *ledger.Reclaimer
+	workers   map[ident.WorkerID]bool // workers of the zone last passed to the reclaimer
+	nextAt    time.Duration
+	left      bool // this host has left the ledger, as requested by the drain
 }
 
 // promiseSource identifies the holder that asked for a promise and the worker
@@ -51,12 +51,12 @@
 
 func newReclaimWatch(opts Options) *reclaimWatch {
 	return &reclaimWatch{
-		promises: map[ident.WorkerID]time.Duration{},
-		wanted:   map[ident.WorkerID]bool{},
-		heldOff:  map[ident.WorkerID]bool{},
-		lastOrder:   map[promiseSource]uint64{},
-		listed:   map[ident.HostID]bool{},
-		reclaimer:    ledger.NewReclaimer(opts.Self, opts.ListLag),
+		promises:  map[ident.WorkerID]time.Duration{},
+		wanted:    map[ident.WorkerID]bool{},
+		heldOff:   map[ident.WorkerID]bool{},
+		lastOrder: map[promiseSource]uint64{},
+		listed:    map[ident.HostID]bool{},
+		reclaimer: ledger.NewReclaimer(opts.Self, opts.ListLag),
 	}
 }
 
@@ -131,8 +131,8 @@
 // maxPromiseSources bounds the number of sources in reclaimWatch.lastOrder.
 const maxPromiseSources = 4096
 
-// recordOrder records the highest Order of a source. Hosts are replaced over time,
-// so at the bound the sources without a promise in force are removed.
+// recordOrder records the highest Order of a source. Hosts are replaced over
+// time, so at the bound the sources without a promise in force are removed.
 func (r *reclaimWatch) recordOrder(source promiseSource, order uint64) {
 	if len(r.lastOrder) >= maxPromiseSources {
 		maps.DeleteFunc(r.lastOrder, func(s promiseSource, _ uint64) bool { return !r.promised(s.worker) })
@@ -141,13 +141,13 @@
 }
 
 // promiseAsked gives up the compute lease of a worker for a peer that settles
-// the attempts there, and promises not to acquire it until the peer releases the
-// promise. The reply says Given only once the lease is not held.
+// the attempts there, and promises not to acquire it until the peer releases
+// the promise. The reply says Given only once the lease is not held.
 //
 // A request that arrives late or twice, after the release that followed it,
-// would keep this host from acquiring the lease until the promise expires, since
-// no further release is sent. Requests of the same source with an Order that is
-// not higher than the last are therefore ignored.
+// would keep this host from acquiring the lease until the promise expires,
+// since no further release is sent. Requests of the same source with an Order
+// that is not higher than the last are therefore ignored.
 func (e *Engine) promiseAsked(ev PromiseAsked) {
 	source := promiseSource{from: ev.From, worker: ev.Worker}
 	if ev.Order <= e.reclaim.lastOrder[source] {
@@ -295,8 +295,8 @@
 	return seen
 }
 
-// runningTasks returns the running tasks, each with the holder whose limit units
-// it uses.
+// runningTasks returns the running tasks, each with the holder whose limit
+// units it uses.
 func (e *Engine) runningTasks(tasks []ports.TaskReport) []ledger.RunningTask {
 	var list []ledger.RunningTask
 	for _, t := range tasks {
@@ -316,9 +316,9 @@
 	e.emit(LeasesReply{Call: ev.Call, Leases: e.heldLeases()})
 }
 
-// leasesAnswered passes a peer's leases to the reclaimer. Their remaining time is
-// counted from when the question was sent, which is not later than when the peer
-// read it.
+// leasesAnswered passes a peer's leases to the reclaimer. Their remaining time
+// is counted from when the question was sent, which is not later than when the
+// peer read it.
 func (e *Engine) leasesAnswered(ev LeasesAnswered) {
 	if !e.Schedules() {
 		return
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -13,8 +13,8 @@
 
 // Intervals of a recovery.
 const (
-	callInFlight = 2 * time.Second // maximum time from sending a call to its arrival
-	promiseAskInterval  = time.Second     // interval between requests for the same peer's promise
+	callInFlight       = 2 * time.Second // maximum time from sending a call to its arrival
+	promiseAskInterval = time.Second     // interval between requests for the same peer's promise
 )
 
 func (e *Engine) recoveryConfig() jobs.RecoveryConfig {
@@ -42,8 +42,8 @@
 // resumeStream takes over the stream again if this host still owns it. This
 // happens when the host gave up scheduling and resumed it before the log had
 // settled the proposals in flight: no new ownership is reported then. Attempts
-// of the host's own epoch may be open too, so the stream is taken over only when
-// no earlier proposal is in flight.
+// of the host's own epoch may be open too, so the stream is taken over only
+// when no earlier proposal is in flight.
 func (e *Engine) resumeStream() {
 	epoch, owns := e.owner.Epoch()
 	if e.zone.epoch != 0 || !owns || len(e.proposals) > 0 || len(e.refusedEnds) > 0 {
@@ -53,8 +53,8 @@
 	e.takeOverStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, noOwnEpoch)
 }
 
-// takeOverStream restores the stream's jobs. Open attempts of epochs other than ownEpoch
-// are settled first.
+// takeOverStream restores the stream's jobs. Open attempts of epochs other than
+// ownEpoch are settled first.
 func (e *Engine) takeOverStream(ev jobs.BecameOwner, ownEpoch jobs.Epoch) {
 	e.note(NoteScheduler, "schedules zone "+string(e.opts.Zone))
 	if !ev.Whole {
@@ -74,9 +74,9 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// cycleLease releases and reacquires a worker's compute lease if this host holds
-// it under epoch or an earlier one. A start in flight under epoch cannot take
-// effect after that, and the new grant shows whether it did.
+// cycleLease releases and reacquires a worker's compute lease if this host
+// holds it under epoch or an earlier one. A start in flight under epoch cannot
+// take effect after that, and the new grant shows whether it did.
 func (e *Engine) cycleLease(worker ident.WorkerID, epoch ports.Epoch) {
 	w := e.zone.workers[worker]
 	if w == nil || !w.held || w.epoch > epoch {
@@ -170,9 +170,9 @@
 	return job.Spec.NonIdempotent || counted >= max(job.Spec.MaxAttempts, 1)
 }
 
-// displaced returns how many attempts of a task were preempted. The log records
-// only that they were stopped. A task that must not be preempted was stopped for
-// another reason, such as its run time limit, which counts as a failure.
+// displaced returns how many attempts of a task were displaced. The log records
+// only that they were stopped. A task that must not be displaced was stopped
+// for another reason, such as its run time limit, which counts as a failure.
 func displaced(job *jobs.Job, task jobs.Task) int {
 	if job.Spec.Displaceable && !job.Spec.NonIdempotent {
 		return task.Stopped
@@ -301,8 +301,8 @@
 
 func (p *resolution) undecided(*Engine) {}
 
-// attemptSettled counts a attemptSettled attempt of a job and passes the job to the scheduler
-// after the last one.
+// attemptSettled counts a attemptSettled attempt of a job and passes the job to
+// the scheduler after the last one.
 func (e *Engine) attemptSettled(job ident.JobID) {
 	e.zone.recovering[job]--
 	if e.zone.recovering[job] > 0 {
@@ -312,9 +312,9 @@
 	e.restoreJob(job)
 }
 
-// abandonRecovery releases the peers from the promises of an unfinished recovery.
-// The next owner may be one of these peers, and its recovery would wait for the
-// promise that it gave itself.
+// abandonRecovery releases the peers from the promises of an unfinished
+// recovery. The next owner may be one of these peers, and its recovery would
+// wait for the promise that it gave itself.
 func (e *Engine) abandonRecovery() {
 	if e.zone.recovery == nil {
 		return
@@ -340,14 +340,14 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// yieldWait is how long a host that lost the stream to another host waits before
-// it requests ownership again. Two hosts may both consider themselves the zone's
-// scheduler for a short time; without the wait they would take the stream from
-// each other until their views agree.
+// yieldWait is how long a host that lost the stream to another host waits
+// before it requests ownership again. Two hosts may both consider themselves
+// the zone's scheduler for a short time; without the wait they would take the
+// stream from each other until their views agree.
 const yieldWait = 5 * time.Second
 
-// tickYield requests ownership of the stream again after yieldWait, if this host
-// still is to schedule the zone.
+// tickYield requests ownership of the stream again after yieldWait, if this
+// host still is to schedule the zone.
 func (e *Engine) tickYield() {
 	if e.zone.yieldUntil != 0 && e.now >= e.zone.yieldUntil {
 		e.zone.yieldUntil = 0
@@ -356,8 +356,8 @@
 }
 
 // lostOwnership replaces the zone's scheduler by one without jobs, which now
-// belong to the next owner. Service replicas stay with the holder of the compute
-// leases.
+// belong to the next owner. Service replicas stay with the holder of the
+// compute leases.
 func (e *Engine) lostOwnership(ev jobs.LostOwnership) {
 	if e.zone == nil || e.zone.epoch != ev.Epoch {
 		return
--- a/engine/recovery_test.go
+++ b/engine/recovery_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// runRestoredJob restores a job of one task in a new scheduler, fails every attempt,
-// and returns the number of attempts and how the job ended.
+// runRestoredJob restores a job of one task in a new scheduler, fails every
+// attempt, and returns the number of attempts and how the job ended.
 func runRestoredJob(t *testing.T, spec work.Spec, task jobs.Task) (attempts int, end sched.JobEnded) {
 	t.Helper()
 	e := &Engine{zone: &zoneScheduler{attempts: newAttemptBook()}}
@@ -48,8 +48,8 @@
 }
 
 // A zone's scheduler stops while a task is waiting. Refusals by workers and
-// preemptions do not count as attempts: with two refusals, one preemption and
-// MaxAttempts 2, the next scheduler must still make both attempts. A
+// displacements do not count as attempts: with two refusals, one displacement
+// and MaxAttempts 2, the next scheduler must still make both attempts. A
 // non-idempotent task (an approval) that was only refused must be attempted and
 // not end as unknown.
 func TestRestoredJobKeepsItsAttempts(t *testing.T) {
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -139,15 +139,15 @@
 	e.expectEnd(a, t.Ran)
 }
 
-// minReportDelay is the minimum delay until a worker's report is fetched to detect the
-// end of a task.
+// minReportDelay is the minimum delay until a worker's report is fetched to
+// detect the end of a task.
 const minReportDelay = 50 * time.Millisecond
 
 // expectEnd schedules a fetch of the worker's report for when a task should end
 // by its declared run time, instead of at the next renewal: until the end is
-// known, other work waits for capacity that is already free. For an overdue task
-// the interval grows, which keeps the number of messages low when the estimate
-// is wrong.
+// known, other work waits for capacity that is already free. For an overdue
+// task the interval grows, which keeps the number of messages low when the
+// estimate is wrong.
 func (e *Engine) expectEnd(a *attempt, ran time.Duration) {
 	if a.Run <= 0 {
 		return
@@ -160,9 +160,10 @@
 	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(left, minReportDelay)})
 }
 
-// reconcileUnknownTask handles a task that this host did not start. Replicas are adopted,
-// or stopped if their service is no longer declared. Attempts of jobs are left
-// to the recovery; an attempt that is closed in the log is stopped.
+// reconcileUnknownTask handles a task that this host did not start. Replicas
+// are adopted, or stopped if their service is no longer declared. Attempts of
+// jobs are left to the recovery; an attempt that is closed in the log is
+// stopped.
 func (e *Engine) reconcileUnknownTask(w *zoneWorker, service ident.ServiceID, id ident.AttemptID, t ports.TaskReport) {
 	switch {
 	case service != "" && t.Ended:
@@ -291,16 +292,16 @@
 	e.removeLostWorkers()
 }
 
-// removeLostWorkers removes workers whose lease was lost so long ago that no task
-// started there by this host can still run.
+// removeLostWorkers removes workers whose lease was lost so long ago that no
+// task started there by this host can still run.
 //
 // Without the wait, a task could be started again while its first run continues
 // on a worker that is alive but unreachable. The worker stops its tasks by its
-// own clock when the task TTL has passed since the last renewal that reached it,
-// and that renewal is not later than the loss of the lease here. Another host
-// that renewed the lease meanwhile would prolong the tasks. Attempts of jobs are
-// therefore settled by a recovery, which asks every host of the zone to promise
-// that it does not renew the lease.
+// own clock when the task TTL has passed since the last renewal that reached
+// it, and that renewal is not later than the loss of the lease here. Another
+// host that renewed the lease meanwhile would prolong the tasks. Attempts of
+// jobs are therefore settled by a recovery, which asks every host of the zone
+// to promise that it does not renew the lease.
 func (e *Engine) removeLostWorkers() {
 	var expired []*zoneWorker
 	for _, w := range e.zone.workers {
@@ -331,7 +332,8 @@
 	e.stepSched(sched.WorkerRemoved{Worker: w.id})
 }
 
-// maxTaskSurvival returns how long a task may still run after the loss of its lease.
+// maxTaskSurvival returns how long a task may still run after the loss of its
+// lease.
 func (e *Engine) maxTaskSurvival() time.Duration {
 	ttl := e.opts.Lease.TaskTTL
 	return ttl + time.Duration(float64(ttl)*e.opts.Lease.Drift) + e.leaseTTL()
--- a/engine/requests.go
+++ b/engine/requests.go
@@ -20,10 +20,10 @@
 // requestBook holds the calls in flight and those that ended recently. It
 // distinguishes them from calls of other hosts in a worker's report.
 type requestBook struct {
-	sent      map[ident.TaskID]sentCall
-	ended     map[ident.TaskID]time.Duration
-	endedOrder     []endedCall // ended calls, oldest first
-	lingering map[ident.TaskID]lingeringCall
+	sent       map[ident.TaskID]sentCall
+	ended      map[ident.TaskID]time.Duration
+	endedOrder []endedCall // ended calls, oldest first
+	lingering  map[ident.TaskID]lingeringCall
 }
 
 type endedCall struct {
@@ -39,12 +39,12 @@
 	}
 }
 
-// endedRetention is how long an ended call is kept: longer than a worker's answer
-// to a renewal can take.
+// endedRetention is how long an ended call is kept: longer than a worker's
+// answer to a renewal can take.
 const endedRetention = 10 * time.Second
 
-// accounted reports whether a running call, listed in a worker's report that was
-// requested at sentAt, is already counted by the request path.
+// accounted reports whether a running call, listed in a worker's report that
+// was requested at sentAt, is already counted by the request path.
 func (b *requestBook) accounted(worker ident.WorkerID, text string, sentAt time.Duration) bool {
 	id, err := ident.ParseTaskID(text)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return ok && endedAt >= sentAt
 }
 
-// end records the end of a call at now and returns the call. It returns false if
-// the call was not in flight.
+// end records the end of a call at now and returns the call. It returns false
+// if the call was not in flight.
 func (b *requestBook) end(id ident.TaskID, now time.Duration) (sentCall, bool) {
 	sent, ok := b.sent[id]
 	if !ok {
@@ -70,7 +70,7 @@
 	return sent, true
 }
 
-// expire removes calls that ended more than rememberEnded ago. A call that was
+// expire removes calls that ended more than endedRetention ago. A call that was
 // retried and ended again has two entries and is removed with the later one.
 func (b *requestBook) expire(now time.Duration) {
 	n := 0
@@ -103,9 +103,9 @@
 	}
 }
 
-// dispatch sends a call under the epoch of the slots lease. If the lease expired
-// while this host was paused, there is no epoch to send under, and the call is
-// returned to the router as not run.
+// dispatch sends a call under the epoch of the slots lease. If the lease
+// expired while this host was paused, there is no epoch to send under, and the
+// call is returned to the router as not run.
 func (e *Engine) dispatch(cmd request.Dispatch) {
 	key := lease.Key{Worker: cmd.Worker, Class: ports.ClassSlots}
 	epoch, held := e.leases.Epoch(key, e.now)
@@ -163,7 +163,8 @@
 	e.reportSlotsIdle(ev.Worker)
 }
 
-// reportSlotsIdle lets the handover of a worker continue once no call is in flight.
+// reportSlotsIdle lets the handover of a worker continue once no call is in
+// flight.
 func (e *Engine) reportSlotsIdle(worker ident.WorkerID) {
 	if worker != "" && e.router.InFlight(worker) == 0 {
 		e.stepLeases(lease.Idle{Key: lease.Key{Worker: worker, Class: ports.ClassSlots}})
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -14,16 +14,17 @@
 	last    time.Duration // when it was last sent
 }
 
-// stopRetry is the time after which the call is repeated if the task still runs.
+// stopRetry is the time after which the call is repeated if the task still
+// runs.
 const stopRetry = 400 * time.Millisecond
 
 // stopOrdered records that a stop or checkpoint of an attempt was just sent.
 //
 // The call may overtake the start: the worker ignores it because it does not
 // know the task yet, the task then starts, and urgent work waits for its
-// resources until the scheduler repeats the call seconds later. An attempt whose
-// start was not sent yet is therefore never started, and for an attempt whose
-// start was in flight the call is repeated as soon as it runs.
+// resources until the scheduler repeats the call seconds later. An attempt
+// whose start was not sent yet is therefore never started, and for an attempt
+// whose start was in flight the call is repeated as soon as it runs.
 func (e *Engine) stopOrdered(a *attempt, control ports.Control) {
 	if a.stop.control == "" {
 		a.stop.first = e.now
@@ -50,10 +51,11 @@
 	e.scheduleStopReport(a)
 }
 
-// scheduleStopReport schedules a fetch of the worker's report soon after a stop or
-// checkpoint was sent. Only a report shows that the task has ended: the urgent
-// work for which it is preempted would otherwise wait for the next renewal, which
-// may be seconds away. For a task that takes long to stop the interval grows.
+// scheduleStopReport schedules a fetch of the worker's report soon after a stop
+// or checkpoint was sent. Only a report shows that the task has ended: the
+// urgent work for which it is displaced would otherwise wait for the next
+// renewal, which may be seconds away. For a task that takes long to stop the
+// interval grows.
 func (e *Engine) scheduleStopReport(a *attempt) {
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
 	waited := e.now - a.stop.first
--- a/engine/units.go
+++ b/engine/units.go
@@ -18,7 +18,7 @@
 type demand struct {
 	requests map[ident.TeamID]unitDemand
 	tasks    map[ident.TeamID]unitDemand
-	reported     map[ident.TeamID]int64
+	reported map[ident.TeamID]int64
 }
 
 // unitDemand is a number of lacking units and when it was last reported.
@@ -128,8 +128,9 @@
 	}
 }
 
-// reincarnate stops this incarnation of the host. Its units were taken over by other
-// hosts, so it must start nothing; its running tasks are counted by those hosts.
+// reincarnate stops this incarnation of the host. Its units were taken over by
+// other hosts, so it must start nothing; its running tasks are counted by those
+// hosts.
 func (e *Engine) reincarnate(by ident.Holder) {
 	e.dethroned = true
 	reason := "its limit units were taken over"
--- a/engine/zone.go
+++ b/engine/zone.go
@@ -15,16 +15,16 @@
 )
 
 // zoneScheduler is the state of the zone's services and jobs on the host that
-// schedules the zone. Services run as soon as compute leases are held; jobs also
-// require that this host owns the zone's stream.
+// schedules the zone. Services run as soon as compute leases are held; jobs
+// also require that this host owns the zone's stream.
 type zoneScheduler struct {
-	sched    *sched.Scheduler
-	limits   *zoneLimits
-	epoch    jobs.Epoch // of the owned stream; zero while this host does not own it
-	generation     uint64     // number of this scheduler within the host's incarnation
-	workers  map[ident.WorkerID]*zoneWorker
-	attempts attemptBook
-	services map[ident.ServiceID]fleet.Service
+	sched      *sched.Scheduler
+	limits     *zoneLimits
+	epoch      jobs.Epoch // of the owned stream; zero while this host does not own it
+	generation uint64     // number of this scheduler within the host's incarnation
+	workers    map[ident.WorkerID]*zoneWorker
+	attempts   attemptBook
+	services   map[ident.ServiceID]fleet.Service
 
 	// opened is set once, for every listed worker, the lease was gained or the
 	// worker failed to answer, or once openBy has passed. Before that, workers
@@ -58,15 +58,15 @@
 	quiet   bool // being handed over to another host: no new starts
 }
 
-// zoneLimits provides the limit units of this host to the scheduler. It excludes
-// the units of adopted tasks, which a dead holder still holds.
+// zoneLimits provides the limit units of this host to the scheduler. It
+// excludes the units of adopted tasks, which a dead holder still holds.
 type zoneLimits struct {
 	units    *ledger.Holder
 	borrowed map[ident.TeamID]int64 // units that the next Done must not return
 }
 
-// TryUse implements sched.Limits: it takes units of a team's limit from those of
-// this host and reports whether enough were free.
+// TryUse implements sched.Limits: it takes units of a team's limit from those
+// of this host and reports whether enough were free.
 func (l *zoneLimits) TryUse(team ident.TeamID, units int64) bool { return l.units.TryUse(team, units) }
 
 // Done implements sched.Limits: it returns units to this host, except borrowed
@@ -85,7 +85,7 @@
 	opts.Limits = limits
 	e.zoneLife++
 	return &zoneScheduler{
-		generation:       e.zoneLife,
+		generation: e.zoneLife,
 		sched:      sched.New(opts),
 		limits:     limits,
 		workers:    map[ident.WorkerID]*zoneWorker{},
@@ -97,8 +97,9 @@
 	}
 }
 
-// openWaitTTLs is the number of lease TTLs that a new scheduler waits for the workers
-// of its zone: one for the earlier holder's leases to expire, one to ask again.
+// openWaitTTLs is the number of lease TTLs that a new scheduler waits for the
+// workers of its zone: one for the earlier holder's leases to expire, one to
+// ask again.
 const openWaitTTLs = 2
 
 // leaseTTL returns the TTL of control leases.
