--- a/sched/attempt.go
+++ b/sched/attempt.go
@@ -21,14 +21,14 @@
 	units   int64
 
 	worker      place.Ref
-	workerIndex int    // index in host.attempts
-	since       timeOf // start of the run; before started is set, time of the assignment
+	workerIndex int           // index in workerState.attempts
+	since       monotonicTime // start of the run; before started is set, time of the assignment
 	started     bool
 	expected    time.Duration // run time
 	excessCPU   int64         // measured milli-cpu above the need
 	stopping    ports.Control
-	stopAt      timeOf // time of the first control
-	requeueLast bool   // displaced for urgent work or a service replica
+	stopAt      monotonicTime // time of the first control
+	requeueLast bool          // displaced for urgent work or a service replica
 	ended       bool
 }
 
@@ -62,7 +62,7 @@
 // begin adds an attempt to its worker, team and job. Its capacity and units are
 // already reserved.
 func (s *Scheduler) begin(a *attempt, ref place.Ref) {
-	h := s.host(ref)
+	h := s.workerState(ref)
 	a.worker = ref
 	a.workerIndex = len(h.attempts)
 	h.attempts = append(h.attempts, a)
@@ -79,7 +79,7 @@
 // capacity and units.
 func (s *Scheduler) release(a *attempt) {
 	a.ended = true
-	h := s.host(a.worker)
+	h := s.workerState(a.worker)
 	if s.displaceable(a) {
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
@@ -166,7 +166,7 @@
 	t := &j.tasks[a.id.Index]
 	t.run = nil
 	if !e.refused {
-		j.begun++
+		j.executed++
 	}
 	s.learnRun(j, e)
 	switch {
@@ -250,7 +250,7 @@
 // requeueAfter queues a task, or a whole gang, again after the delay.
 func (s *Scheduler) requeueAfter(j *job, index int, delay time.Duration) {
 	j.delayed++
-	s.after(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
+	s.setTimer(timer{at: s.now + delay, kind: timerBackoff, job: j, index: int32(index)})
 }
 
 // backoffPassed queues a task, or a whole gang, at the end of its backoff.
@@ -274,7 +274,7 @@
 		return
 	}
 	if s.displaceable(a) {
-		h := s.host(a.worker)
+		h := s.workerState(a.worker)
 		h.displaceable = h.displaceable.Sub(a.need)
 	}
 	if a.stopping == "" {
@@ -285,7 +285,7 @@
 	s.sendControl(a)
 	if !alreadyStopping {
 		a.stopAt = s.now
-		s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
+		s.setTimer(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 	}
 }
 
@@ -305,7 +305,7 @@
 		return
 	}
 	s.sendControl(a)
-	s.after(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
+	s.setTimer(timer{at: s.now + controlResendInterval, kind: timerControl, attempt: a})
 }
 
 func (s *Scheduler) usageReported(ev UsageReported) {
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -38,7 +38,7 @@
 // team or, if neither is set, for urgent work.
 type displacement struct {
 	worker  place.Ref
-	until   timeOf // latest end of the hold
+	until   monotonicTime // latest end of the hold
 	team    *team
 	service *service
 }
@@ -131,12 +131,12 @@
 // work that entry names.
 func (s *Scheduler) holdDisplacing(workers []place.Ref, entry displacement) {
 	entry.until = s.now + maxDisplacementHold
-	s.after(timer{at: entry.until, kind: timerWake})
-	s.after(timer{at: s.now + stopGrace, kind: timerWake})
+	s.setTimer(timer{at: entry.until, kind: timerWake})
+	s.setTimer(timer{at: s.now + stopGrace, kind: timerWake})
 	for _, ref := range workers {
 		s.cell.Bar(ref, place.BarHeld)
 		entry.worker = ref
-		s.making = append(s.making, entry)
+		s.displacements = append(s.displacements, entry)
 	}
 }
 
@@ -164,12 +164,12 @@
 // although other tasks could be displaced.
 func (s *Scheduler) fitsOnceStopped(j *job, most int64) int64 {
 	fits := int64(0)
-	for _, e := range s.making {
+	for _, e := range s.displacements {
 		if !e.mayUse(j) {
 			continue
 		}
 		room := s.cell.Worker(e.worker).Free
-		for _, a := range s.host(e.worker).attempts {
+		for _, a := range s.workerState(e.worker).attempts {
 			if a.stopping != "" && s.now < a.stopAt+stopGrace {
 				room = room.Add(a.need)
 			}
@@ -183,7 +183,7 @@
 // fit the wanted number of tasks, and how many tasks will fit on them.
 func (s *Scheduler) victims(need resource.Vector, eligible victimFilter, wanted int64) ([]place.Ref, int64) {
 	var workers []place.Ref
-	for i := range s.hosts {
+	for i := range s.workers {
 		ref := place.Ref(i)
 		w := s.cell.Worker(ref)
 		if w.Bars == 0 && need.Fits(w.Free.Add(s.displaceableOn(ref, eligible))) {
@@ -210,7 +210,7 @@
 // displaceableOn returns the sum of the needs of the eligible displaceable
 // attempts on a worker.
 func (s *Scheduler) displaceableOn(ref place.Ref, eligible victimFilter) resource.Vector {
-	h := s.host(ref)
+	h := s.workerState(ref)
 	if eligible == nil || h.displaceable.IsZero() {
 		return h.displaceable
 	}
@@ -228,7 +228,7 @@
 // have run the shortest time.
 func (s *Scheduler) checkpoint(ref place.Ref, need resource.Vector, eligible victimFilter) {
 	var victims []*attempt
-	for _, a := range s.host(ref).attempts {
+	for _, a := range s.workerState(ref).attempts {
 		if s.displaceable(a) && (eligible == nil || eligible(a)) {
 			victims = append(victims, a)
 		}
@@ -263,18 +263,18 @@
 // ended, or was not stopped in time. Dispatch has offered them before to the
 // work that they were held for. It reports whether any worker was released.
 func (s *Scheduler) endDisplacements() bool {
-	before := len(s.making)
-	s.making = slices.DeleteFunc(s.making, func(e displacement) bool {
+	before := len(s.displacements)
+	s.displacements = slices.DeleteFunc(s.displacements, func(e displacement) bool {
 		if s.now < e.until && s.hasStopping(e.worker) {
 			return false
 		}
 		s.cell.Unbar(e.worker, place.BarHeld)
 		return true
 	})
-	return len(s.making) < before
+	return len(s.displacements) < before
 }
 
 // hasStopping reports whether any attempt on a worker is being stopped.
 func (s *Scheduler) hasStopping(ref place.Ref) bool {
-	return slices.ContainsFunc(s.host(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
+	return slices.ContainsFunc(s.workerState(ref).attempts, func(a *attempt) bool { return a.stopping != "" })
 }
--- a/sched/quarantine.go
+++ b/sched/quarantine.go
@@ -7,23 +7,26 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// A worker that fails everything at once is always idle and, ranked by room
-// alone, draws all waiting work of the zone until every job has used up its
-// attempts. It is therefore set aside after failures of different jobs in a
-// row, tried with one task after a while, and taken back when that succeeds.
+// A worker on which every task fails at once is always idle. Ranked by room
+// alone, it attracts all waiting work of the zone until every job has used up
+// its attempts. It is therefore quarantined after consecutive failures of
+// different jobs, then probed with one task at a time, and used normally again
+// after a success.
 //
-// Failures that come from the work must not set workers aside, or one team's
-// broken jobs would take the zone from all others: failures of work that
-// mostly fails do not count, and at most a quarter of the workers is set aside.
+// Failures caused by the work must not quarantine workers, or one team's broken
+// jobs would take the zone from all other teams. Failures of work that mostly
+// fails are therefore not counted, and at most a quarter of the workers is
+// quarantined.
 const (
-	mostSick       = 4           // one in so many workers may be set aside
-	mostlyFails    = 0.5         // failure rate above which work is its own cause
-	refusalBackoff = time.Second // after the first refusal, doubled each time
+	quarantineDivisor = 4           // at most 1/quarantineDivisor of the workers is quarantined
+	brokenWorkRate    = 0.5         // failure rate above which failures are blamed on the work
+	refusalBackoff    = time.Second // backoff after the first refusal, doubled each time
 )
 
-// judgeWorker draws conclusions about the worker from the end of an attempt.
+// judgeWorker updates the failure state of the worker after the end of an
+// attempt, and quarantines the worker if needed.
 func (s *Scheduler) judgeWorker(a *attempt, ev AttemptEnded) {
-	h := s.host(a.worker)
+	h := s.workerState(a.worker)
 	if ev.Stopped || ev.Unknown {
 		s.cell.Unbar(a.worker, place.BarProbing)
 		return
@@ -38,73 +41,74 @@
 		s.quarantine(a.worker, h)
 		return
 	}
-	if a.job != nil && a.job.family.failing > mostlyFails {
+	if a.job != nil && a.job.family.failureRate > brokenWorkRate {
 		return
 	}
-	if h.streak > 0 && h.failedJob == a.id.Job {
+	if h.failureStreak > 0 && h.failedJob == a.id.Job {
 		return
 	}
 	h.failedJob = a.id.Job
-	h.streak++
-	if h.streak >= s.opts.QuarantineAfter && (s.sick+1)*mostSick <= max(s.cell.Len(), mostSick) {
-		s.sick++
+	h.failureStreak++
+	if h.failureStreak >= s.opts.QuarantineAfter && (s.quarantined+1)*quarantineDivisor <= max(s.cell.Len(), quarantineDivisor) {
+		s.quarantined++
 		s.quarantine(a.worker, h)
 	}
 }
 
-func (s *Scheduler) workerSucceeded(ref place.Ref, h *host) {
-	h.streak = 0
-	if h.sentences == 0 {
+func (s *Scheduler) workerSucceeded(ref place.Ref, h *workerState) {
+	h.failureStreak = 0
+	if h.quarantines == 0 {
 		return
 	}
-	h.sentences = 0
-	s.sick--
+	h.quarantines = 0
+	s.quarantined--
 	s.cell.Unbar(ref, place.BarProbing|place.BarQuarantined)
 	s.dirty = true
 }
 
-// quarantine sets a worker aside, each time for twice as long.
-func (s *Scheduler) quarantine(ref place.Ref, h *host) {
-	delay := exponentialBackoff(s.opts.QuarantineMin, s.opts.QuarantineMax, h.sentences)
-	h.sentences++
-	h.streak = 0
-	h.returns = s.now + delay
+// quarantine bars a worker from new work, each time for twice as long, up to
+// QuarantineMax.
+func (s *Scheduler) quarantine(ref place.Ref, h *workerState) {
+	delay := exponentialBackoff(s.opts.QuarantineMin, s.opts.QuarantineMax, h.quarantines)
+	h.quarantines++
+	h.failureStreak = 0
+	h.quarantineEnd = s.now + delay
 	s.cell.Unbar(ref, place.BarProbing)
 	s.cell.Bar(ref, place.BarQuarantined)
-	s.after(timer{at: h.returns, kind: timerWorker, worker: ref, life: h.life})
+	s.setTimer(timer{at: h.quarantineEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
 
-// workerReturns ends a quarantine or the back-off after a refusal. A worker
-// that comes back from a quarantine is barred again by the first task that is
-// placed on it, until that task has ended.
-func (s *Scheduler) workerReturns(ref place.Ref, life uint32) {
-	h := s.host(ref)
-	if h.life != life {
+// unbarExpired ends a quarantine or the backoff after a refusal. After a
+// quarantine the worker is probed: the first task placed on it bars it from
+// further work until that task has ended.
+func (s *Scheduler) unbarExpired(ref place.Ref, generation uint32) {
+	h := s.workerState(ref)
+	if h.generation != generation {
 		return
 	}
-	if s.now >= h.accepts {
+	if s.now >= h.backoffEnd {
 		s.cell.Unbar(ref, place.BarBackoff)
 	}
-	if s.now >= h.returns {
+	if s.now >= h.quarantineEnd {
 		s.cell.Unbar(ref, place.BarQuarantined)
 	}
 	s.dirty = true
 }
 
-// onTrial reports whether the next task on the worker is a trial.
-func (h *host) onTrial() bool { return h.sentences > 0 }
+// needsProbe reports whether the next task on the worker is a probe.
+func (h *workerState) needsProbe() bool { return h.quarantines > 0 }
 
-// workerRefused keeps new work off a worker that just refused a start, so that
-// the same decision is not taken again at once.
+// workerRefused bars a worker that refused a start for the backoff time.
+// Otherwise the scheduler would choose the same worker again at once.
 func (s *Scheduler) workerRefused(ref place.Ref, reason ports.Refusal) {
 	s.cell.Unbar(ref, place.BarProbing)
 	if reason == "" {
 		return
 	}
-	h := s.host(ref)
+	h := s.workerState(ref)
 	delay := exponentialBackoff(refusalBackoff, s.opts.QuarantineMin, h.refusals)
 	h.refusals++
-	h.accepts = s.now + delay
+	h.backoffEnd = s.now + delay
 	s.cell.Bar(ref, place.BarBackoff)
-	s.after(timer{at: h.accepts, kind: timerWorker, worker: ref, life: h.life})
+	s.setTimer(timer{at: h.backoffEnd, kind: timerWorker, worker: ref, generation: h.generation})
 }
