--- a/engine/linger.go
+++ b/engine/linger.go
@@ -53,7 +53,7 @@
 	for id, c := range e.calls.lingering {
 		left := c.deadline - c.since
 		span := max(left, 0) + time.Duration(float64(max(left, 0))*e.opts.Lease.Drift)
-		if e.now >= c.since+span+callInFlight {
+		if e.now >= c.since+span+maxCallDelay {
 			e.endLingering(id, c)
 		}
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	for id, c := range e.calls.lingering {
-		if c.worker == worker && sentAt >= c.since+callInFlight && !running[id.String()] {
+		if c.worker == worker && sentAt >= c.since+maxCallDelay && !running[id.String()] {
 			e.endLingering(id, c)
 		}
 	}
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -13,7 +13,7 @@
 
 // Intervals of a recovery.
 const (
-	callInFlight       = 2 * time.Second // maximum time from sending a call to its arrival
+	maxCallDelay       = 2 * time.Second // maximum time from sending a call to its arrival
 	promiseAskInterval = time.Second     // interval between requests for the same peer's promise
 )
 
@@ -22,7 +22,7 @@
 	return jobs.RecoveryConfig{
 		TaskTTL:  ttl,
 		Drift:    time.Duration(float64(ttl) * e.opts.Lease.Drift),
-		InFlight: callInFlight,
+		InFlight: maxCallDelay,
 		AskEvery: promiseAskInterval,
 	}
 }
