--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -197,7 +197,7 @@
 		e.stepLeases(lease.EpochRefused{Key: key, Epoch: a.lease})
 	}
 	if a.maybeSent {
-		e.cycleLease(a.Worker, a.lease)
+		e.reacquireLease(a.Worker, a.lease)
 		return
 	}
 	e.endNever(a, refusal)
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -74,10 +74,10 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// cycleLease releases and reacquires a worker's compute lease if this host
+// reacquireLease releases and reacquires a worker's compute lease if this host
 // holds it under epoch or an earlier one. A start in flight under epoch cannot
 // take effect after that, and the new grant shows whether it did.
-func (e *Engine) cycleLease(worker ident.WorkerID, epoch ports.Epoch) {
+func (e *Engine) reacquireLease(worker ident.WorkerID, epoch ports.Epoch) {
 	w := e.zone.workers[worker]
 	if w == nil || !w.held || w.epoch > epoch {
 		return
@@ -221,7 +221,7 @@
 		e.resume(cmd.Worker)
 	case jobs.Reacquire:
 		if w := e.zone.workers[cmd.Worker]; w != nil {
-			e.cycleLease(cmd.Worker, w.epoch)
+			e.reacquireLease(cmd.Worker, w.epoch)
 		}
 	case jobs.Adopt:
 		e.adoptAttempt(cmd)
