--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -43,7 +43,7 @@
 	unsent    int         // starts in a row that were not sent
 	retryAt   time.Duration
 	startedAt time.Duration // when the start was known to have taken effect
-	stop      stopOrder
+	stop      stopCall
 	// borrowed means that the units it uses are still held by the dead holder
 	// that started it.
 	borrowed bool
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -7,8 +7,8 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// stopOrder is the stop or checkpoint call that was sent for an attempt.
-type stopOrder struct {
+// stopCall is the stop or checkpoint call that was sent for an attempt.
+type stopCall struct {
 	control ports.Control // empty if none was sent
 	first   time.Duration // when it was first sent
 	last    time.Duration // when it was last sent
