--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -286,7 +286,7 @@
 		e.note(NoteDisplacement, "displaces "+a.name+" of team "+string(a.Team)+" from worker "+string(cmd.Worker))
 	}
 	if cmd.Control == ports.ControlStop || cmd.Control == ports.ControlCheckpoint {
-		e.stopOrdered(a, cmd.Control)
+		e.stopSent(a, cmd.Control)
 	}
 }
 
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -18,14 +18,14 @@
 // runs.
 const stopRetry = 400 * time.Millisecond
 
-// stopOrdered records that a stop or checkpoint of an attempt was just sent.
+// stopSent records that a stop or checkpoint of an attempt was just sent.
 //
 // The call may overtake the start: the worker ignores it because it does not
 // know the task yet, the task then starts, and urgent work waits for its
 // resources until the scheduler repeats the call seconds later. An attempt
 // whose start was not sent yet is therefore never started, and for an attempt
 // whose start was in flight the call is repeated as soon as it runs.
-func (e *Engine) stopOrdered(a *attempt, control ports.Control) {
+func (e *Engine) stopSent(a *attempt, control ports.Control) {
 	if a.stop.control == "" {
 		a.stop.first = e.now
 	}
