--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -178,7 +178,7 @@
 	a.startedAt = e.now
 	e.stepSched(sched.AttemptStarted{ID: a.ID})
 	if a.stop.control != "" {
-		e.sendStop(a)
+		e.resendStop(a)
 		return
 	}
 	e.expectEnd(a, 0)
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -34,8 +34,8 @@
 	e.scheduleStopReport(a)
 }
 
-// sendStop sends the stop or checkpoint call again.
-func (e *Engine) sendStop(a *attempt) {
+// resendStop sends the stop or checkpoint call again.
+func (e *Engine) resendStop(a *attempt) {
 	e.controlTask(a.Worker, a.name, a.stop.control)
 	a.stop.last = e.now
 	e.scheduleStopReport(a)
@@ -45,7 +45,7 @@
 // checkpoint. The call may have been lost, so it is repeated after stopRetry.
 func (e *Engine) stopPending(a *attempt) {
 	if e.now >= a.stop.last+stopRetry {
-		e.sendStop(a)
+		e.resendStop(a)
 		return
 	}
 	e.scheduleStopReport(a)
