--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -181,7 +181,7 @@
 		e.resendStop(a)
 		return
 	}
-	e.expectEnd(a, 0)
+	e.scheduleEndReport(a, 0)
 }
 
 // startRefused takes a worker's refusal.
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -136,19 +136,19 @@
 		e.stopPending(a)
 		return
 	}
-	e.expectEnd(a, t.Ran)
+	e.scheduleEndReport(a, t.Ran)
 }
 
 // minReportDelay is the minimum delay until a worker's report is fetched to
 // detect the end of a task.
 const minReportDelay = 50 * time.Millisecond
 
-// expectEnd schedules a fetch of the worker's report for when a task should end
+// scheduleEndReport schedules a fetch of the worker's report for when a task should end
 // by its declared run time, instead of at the next renewal: until the end is
 // known, other work waits for capacity that is already free. For an overdue
 // task the interval grows, which keeps the number of messages low when the
 // estimate is wrong.
-func (e *Engine) expectEnd(a *attempt, ran time.Duration) {
+func (e *Engine) scheduleEndReport(a *attempt, ran time.Duration) {
 	if a.Run <= 0 {
 		return
 	}
