--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -89,7 +89,7 @@
 	key := lease.Key{Worker: cmd.Worker, Class: ports.ClassCompute}
 	epoch, held := e.leases.Epoch(key, e.now)
 	w := e.zone.workers[cmd.Worker]
-	if !held || w == nil || w.quiet {
+	if !held || w == nil || w.quiesced {
 		e.stepSched(sched.StartRefused{ID: cmd.ID})
 		return
 	}
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -29,7 +29,7 @@
 	w.rack = entry.Rack
 	w.size = ev.Size
 	w.held = true
-	w.quiet = false
+	w.quiesced = false
 	w.marked = false
 	w.epoch = ev.Epoch
 	w.boot = ev.Boot
@@ -256,7 +256,7 @@
 		return
 	}
 	if w := e.zone.workers[key.Worker]; w != nil {
-		w.quiet = true
+		w.quiesced = true
 		e.stepSched(sched.WorkerCordoned{Worker: key.Worker, Cordoned: true})
 	}
 	e.idleComputeIfQuiet(key.Worker)
@@ -269,7 +269,7 @@
 		return
 	}
 	w := e.zone.workers[worker]
-	if w == nil || !w.quiet {
+	if w == nil || !w.quiesced {
 		return
 	}
 	if e.zone.attempts.startsOn(worker) {
--- a/engine/zone.go
+++ b/engine/zone.go
@@ -53,9 +53,9 @@
 	lostAt time.Duration      // when the lease was lost, while it is not held
 	// foreign is the sum of the resources of running tasks unknown to the
 	// scheduler: those of jobs that are not restored yet, or of another owner.
-	foreign resource.Vector
-	marked  bool // accepts no new work: leaving by the host list, or marked by an operator
-	quiet   bool // being handed over to another host: no new starts
+	foreign  resource.Vector
+	marked   bool // accepts no new work: leaving by the host list, or marked by an operator
+	quiesced bool // being handed over to another host: no new starts
 }
 
 // zoneLimits provides the limit units of this host to the scheduler. It
@@ -269,7 +269,7 @@
 		e.stepSched(sched.WorkerAdded{Worker: w.id, Rack: w.rack})
 		return
 	}
-	if w.marked || w.quiet {
+	if w.marked || w.quiesced {
 		return
 	}
 	e.stepSched(sched.WorkerAdded{Worker: w.id, Rack: w.rack, Size: w.size.Sub(w.foreign)})
