--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -170,7 +170,7 @@
 	default:
 		a.maybeSent = true
 	}
-	e.idleComputeIfQuiet(a.Worker)
+	e.reportComputeIdle(a.Worker)
 }
 
 func (e *Engine) started(a *attempt) {
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -259,12 +259,12 @@
 		w.quiesced = true
 		e.stepSched(sched.WorkerCordoned{Worker: key.Worker, Cordoned: true})
 	}
-	e.idleComputeIfQuiet(key.Worker)
+	e.reportComputeIdle(key.Worker)
 }
 
-// idleComputeIfQuiet lets the handover of a worker continue once no start is in
+// reportComputeIdle lets the handover of a worker continue once no start is in
 // flight.
-func (e *Engine) idleComputeIfQuiet(worker ident.WorkerID) {
+func (e *Engine) reportComputeIdle(worker ident.WorkerID) {
 	if e.zone == nil {
 		return
 	}
