--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -212,8 +212,8 @@
 	}
 	a.phase = phaseEnding
 	e.propose(&ending{
-		a:    a,
-		then: sched.StartRefused{ID: a.ID, Reason: refusal},
+		a:          a,
+		schedEvent: sched.StartRefused{ID: a.ID, Reason: refusal},
 	}, endedRecord(a.ID, jobs.ResultNeverStarted, string(refusal)), 0)
 }
 
@@ -234,7 +234,7 @@
 		return
 	}
 	a.phase = phaseEnding
-	e.propose(&ending{a: a, then: ended, ack: t.ID}, endedRecord(a.ID, resultOfReport(t), t.Reason), 0)
+	e.propose(&ending{a: a, schedEvent: ended, ack: t.ID}, endedRecord(a.ID, resultOfReport(t), t.Reason), 0)
 }
 
 // endLost closes an attempt that may have run and cannot be running any more.
@@ -248,7 +248,7 @@
 		return
 	}
 	a.phase = phaseEnding
-	e.propose(&ending{a: a, then: ended}, endedRecord(a.ID, jobs.ResultLost, reason), 0)
+	e.propose(&ending{a: a, schedEvent: ended}, endedRecord(a.ID, jobs.ResultLost, reason), 0)
 }
 
 func resultOfReport(t ports.TaskReport) jobs.Result {
--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -150,9 +150,9 @@
 
 // ending is the proposal of the record of an attempt's end.
 type ending struct {
-	a    *attempt
-	then sched.Event // event for the scheduler once the record takes effect
-	ack  string      // task to acknowledge to the worker then; empty for none
+	a          *attempt
+	schedEvent sched.Event // event for the scheduler once the record takes effect
+	ack        string      // task to acknowledge to the worker then; empty for none
 }
 
 func (p *ending) effective(e *Engine, _ bool) {
@@ -162,7 +162,7 @@
 	if p.ack != "" {
 		e.ackTask(p.a.Worker, p.ack)
 	}
-	e.closeAttempt(p.a, p.then)
+	e.closeAttempt(p.a, p.schedEvent)
 }
 
 // void closes the attempt if the log already holds its end. Otherwise this host
