--- a/engine/membership.go
+++ b/engine/membership.go
@@ -94,8 +94,8 @@
 // Digest returns the digest of this host, the reply to a peer's digest.
 func (e *Engine) Digest() member.Digest { return e.members.Digest() }
 
-// applyMarks cordons, in the request path and the scheduler, the workers that
-// the host list reports as leaving or that an operator has marked.
+// applyMarks updates the request path and the scheduler with the workers that
+// accept no new work, by the host list or by an operator's mark.
 func (e *Engine) applyMarks() {
 	for _, entry := range e.members.Workers() {
 		e.applyMark(entry)
--- a/engine/proposals.go
+++ b/engine/proposals.go
@@ -130,8 +130,8 @@
 	e.propose(&droppedAttempt{}, endedRecord(p.a.ID, jobs.ResultNeverStarted, "given up before its start"), 0)
 }
 
-// droppedAttempt is the proposal of the end of an attempt that was
-// droppedAttempt before its start. Nothing follows from its result.
+// droppedAttempt is the proposal of the end of an attempt that was dropped
+// before its start. Nothing follows from its result.
 type droppedAttempt struct{}
 
 func (*droppedAttempt) effective(*Engine, bool) {}
--- a/engine/quarantine.go
+++ b/engine/quarantine.go
@@ -26,16 +26,16 @@
 		return
 	}
 	w.nextAt = e.now + quarantineInterval
-	now := e.router.Quarantined()
-	for _, id := range now {
+	current := e.router.Quarantined()
+	for _, id := range current {
 		if !slices.Contains(w.known, id) {
 			e.note(NoteQuarantine, "worker "+string(id)+" fails what it is sent; it gets a probe now and then")
 		}
 	}
 	for _, id := range w.known {
-		if !slices.Contains(now, id) {
+		if !slices.Contains(current, id) {
 			e.note(NoteQuarantine, "worker "+string(id)+" has left quarantine")
 		}
 	}
-	w.known = now
+	w.known = current
 }
--- a/engine/reclaim.go
+++ b/engine/reclaim.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// promiseTTL is how long a promise not to take a lease lasts unless the host
-	// that asked for it releases it earlier.
+	// promiseTTL is how long a promise not to take a lease lasts if the host
+	// that asked for it becomes unreachable and does not release it.
 	promiseTTL = 2 * time.Minute
 	// reclaimInterval is the interval between checks for dead holders.
 	reclaimInterval = time.Second
@@ -257,19 +257,19 @@
 // that membership has removed, because it is no longer in the host list and has
 // not answered for long, cannot run anything any more.
 func (e *Engine) zoneWorkersListed() {
-	now := map[ident.WorkerID]bool{}
+	current := map[ident.WorkerID]bool{}
 	var ids []ident.WorkerID
 	for _, entry := range e.members.Workers() {
-		now[entry.Worker] = true
+		current[entry.Worker] = true
 		ids = append(ids, entry.Worker)
 	}
 	e.stepReclaimer(ledger.Workers{Workers: ids})
 	for _, id := range slices.Sorted(maps.Keys(e.reclaim.workers)) {
-		if !now[id] {
+		if !current[id] {
 			e.stepReclaimer(ledger.WorkerGone{Worker: id})
 		}
 	}
-	e.reclaim.workers = now
+	e.reclaim.workers = current
 }
 
 // heldLeases returns the leases that this host holds, with the tasks that run
--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -301,7 +301,7 @@
 
 func (p *resolution) undecided(*Engine) {}
 
-// attemptSettled counts a attemptSettled attempt of a job and passes the job to
+// attemptSettled counts a settled attempt of a job and passes the job to
 // the scheduler after the last one.
 func (e *Engine) attemptSettled(job ident.JobID) {
 	e.zone.recovering[job]--
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -133,7 +133,7 @@
 	}
 	e.stepSched(sched.UsageReported{ID: a.ID, Ran: t.Ran, Usage: t.Usage})
 	if a.stop.control != "" {
-		e.stopPending(a)
+		e.repeatStopIfDue(a)
 		return
 	}
 	e.scheduleEndReport(a, t.Ran)
@@ -143,11 +143,11 @@
 // detect the end of a task.
 const minReportDelay = 50 * time.Millisecond
 
-// scheduleEndReport schedules a fetch of the worker's report for when a task should end
-// by its declared run time, instead of at the next renewal: until the end is
-// known, other work waits for capacity that is already free. For an overdue
-// task the interval grows, which keeps the number of messages low when the
-// estimate is wrong.
+// scheduleEndReport schedules a fetch of the worker's report for when a task
+// should end by its declared run time, instead of at the next renewal: until
+// the end is known, other work waits for capacity that is already free. For an
+// overdue task the interval grows, which keeps the number of messages low when
+// the estimate is wrong.
 func (e *Engine) scheduleEndReport(a *attempt, ran time.Duration) {
 	if a.Run <= 0 {
 		return
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -41,9 +41,9 @@
 	e.scheduleStopReport(a)
 }
 
-// stopPending handles a report in which a task still runs after a stop or
+// repeatStopIfDue handles a report in which a task still runs after a stop or
 // checkpoint. The call may have been lost, so it is repeated after stopRetry.
-func (e *Engine) stopPending(a *attempt) {
+func (e *Engine) repeatStopIfDue(a *attempt) {
 	if e.now >= a.stop.last+stopRetry {
 		e.resendStop(a)
 		return
