--- a/engine/membership.go
+++ b/engine/membership.go
@@ -71,10 +71,10 @@
 
 // reportLoad updates the load that membership puts into digests.
 func (e *Engine) reportLoad() {
-	if e.now < e.loadNext {
+	if e.now < e.nextLoadAt {
 		return
 	}
-	e.loadNext = e.now + loadInterval
+	e.nextLoadAt = e.now + loadInterval
 	load := member.Load{
 		FreeSlots: int(e.router.Free()),
 		Waiting:   e.router.Waiting(),
@@ -137,11 +137,11 @@
 // publishView publishes a new view if it has changed.
 func (e *Engine) publishView() {
 	changes := e.members.Changes()
-	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewOf == changes && e.now < e.viewNext {
+	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewChanges == changes && e.now < e.nextViewAt {
 		return
 	}
-	e.viewOf = changes
-	e.viewNext = e.now + viewInterval
+	e.viewChanges = changes
+	e.nextViewAt = e.now + viewInterval
 	view := View{Schedules: e.Schedules()}
 	for _, p := range e.members.Live(e.now) {
 		view.Hosts = append(view.Hosts, viewHost(p))
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -85,7 +85,7 @@
 // worker that has restarted since: it may have run them and lost its record of
 // it.
 func (e *Engine) settleOlderStarts(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.lease >= w.epoch || a.phase != phaseStarting || findReport(w.tasks, a) != nil {
 			continue
 		}
@@ -93,7 +93,7 @@
 			e.endLost(a, "its worker restarted")
 			continue
 		}
-		e.endNever(a, ports.RefusedEpoch)
+		e.endNeverStarted(a, ports.RefusedEpoch)
 	}
 }
 
@@ -210,7 +210,7 @@
 		phase:     phaseRunning,
 		lease:     w.epoch,
 		startedAt: w.sentAt,
-		by:        t.Holder,
+		holder:    t.Holder,
 	}
 	e.adopt(a)
 	e.stepSched(sched.ReplicaRestored{Service: service, Team: t.Team, ID: id, Worker: w.id, Need: t.Need})
@@ -219,15 +219,15 @@
 // adopt adds an attempt that an earlier scheduler started. It uses the limit
 // units of that scheduler's host until they are reclaimed.
 func (e *Engine) adopt(a *attempt) {
-	a.by = e.units.State().Heir(a.by)
-	a.borrowed = !e.retake(a.ID) && a.by != e.opts.Self
+	a.holder = e.units.State().Heir(a.holder)
+	a.borrowed = !e.takeBackLeftAttempt(a.ID) && a.holder != e.opts.Self
 	e.zone.attempts.add(a)
 }
 
 // endMissing closes as lost the attempts that were running before the report
 // was requested and that the report does not list.
 func (e *Engine) endMissing(w *zoneWorker) {
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.phase != phaseRunning || a.startedAt >= w.sentAt || findReport(w.tasks, a) != nil {
 			continue
 		}
@@ -317,7 +317,7 @@
 
 func (e *Engine) removeLostWorker(w *zoneWorker) {
 	var open []jobs.OpenAttempt
-	for _, a := range e.zone.attempts.on(w.id) {
+	for _, a := range e.zone.attempts.onWorker(w.id) {
 		if a.Service != "" {
 			e.endLost(a, "its worker cannot be reached")
 			continue
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -32,7 +32,7 @@
 	if j.hold != nil {
 		refs = s.reserveHeld(j, refs)
 	}
-	if !s.opts.FirstFit && place.Count(j.need, s.cell.Open(), int64(n)) < int64(n-len(refs)) {
+	if !s.opts.FirstFit && place.Count(j.need, s.cell.Available(), int64(n)) < int64(n-len(refs)) {
 		s.undoReservations(refs, j)
 		return nil
 	}
@@ -65,7 +65,7 @@
 // undoReservations cancels reservations that no attempt uses.
 func (s *Scheduler) undoReservations(refs []place.Ref, j *job) {
 	for _, ref := range refs {
-		s.cell.Undo(ref, j.need)
+		s.cell.Unreserve(ref, j.need)
 	}
 	s.gangRefs = refs[:0]
 }
--- a/sched/service.go
+++ b/sched/service.go
@@ -19,7 +19,7 @@
 	units    int64
 	replicas map[ident.AttemptID]*attempt
 	byStart  []*attempt // the replicas, in order of start
-	spread   *place.Spread
+	spread   *place.ReplicaCounts
 
 	next         int           // index of the next replica
 	noRoomMark   uint64        // position in the log of freed room when no worker fitted; zero if not set
@@ -36,7 +36,7 @@
 			id:           ev.Service,
 			job:          ev.Job,
 			replicas:     map[ident.AttemptID]*attempt{},
-			spread:       place.NewSpread(),
+			spread:       place.NewReplicaCounts(),
 			lastFailedOn: place.None,
 		}
 		s.services[ev.Service] = svc
@@ -46,7 +46,7 @@
 	svc.removed = false
 	svc.team = s.team(ev.Team)
 	svc.wanted = max(ev.Replicas, 0)
-	svc.need = place.Compute(ev.Need)
+	svc.need = place.ComputeResources(ev.Need)
 	svc.units = resource.LimitUnits(ev.Need)
 	svc.noRoomMark = 0
 	s.dirty = true
@@ -86,7 +86,7 @@
 		id:      ev.ID,
 		service: svc,
 		team:    s.team(ev.Team),
-		need:    place.Compute(ev.Need),
+		need:    place.ComputeResources(ev.Need),
 		units:   resource.LimitUnits(ev.Need),
 		since:   s.now,
 		started: true,
@@ -217,11 +217,11 @@
 		ref = s.emptied(svc)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, svc.need) {
-		svc.noRoomMark = s.cell.Freed()
+		svc.noRoomMark = s.cell.FreedPosition()
 		return false
 	}
 	if !s.tryUse(svc.team, svc.units, s.now) {
-		s.cell.Undo(ref, svc.need)
+		s.cell.Unreserve(ref, svc.need)
 		return false
 	}
 	a := &attempt{
