--- a/engine/zone.go
+++ b/engine/zone.go
@@ -18,13 +18,13 @@
 // schedules the zone. Services run as soon as compute leases are held; jobs
 // also require that this host owns the zone's stream.
 type zoneScheduler struct {
-	sched      *sched.Scheduler
-	limits     *zoneLimits
-	epoch      jobs.Epoch // of the owned stream; zero while this host does not own it
-	generation uint64     // number of this scheduler within the host's incarnation
-	workers    map[ident.WorkerID]*zoneWorker
-	attempts   attemptBook
-	services   map[ident.ServiceID]fleet.Service
+	sched           *sched.Scheduler
+	limits          *zoneLimits
+	epoch           jobs.Epoch // of the owned stream; zero while this host does not own it
+	schedulerNumber uint64     // of this scheduler, from 1 within the host's incarnation
+	workers         map[ident.WorkerID]*zoneWorker
+	attempts        attemptBook
+	services        map[ident.ServiceID]fleet.Service
 
 	// opened is set once, for every listed worker, the lease was gained or the
 	// worker failed to answer, or once openBy has passed. Before that, workers
@@ -85,15 +85,15 @@
 	opts.Limits = limits
 	e.zoneLife++
 	return &zoneScheduler{
-		generation: e.zoneLife,
-		sched:      sched.New(opts),
-		limits:     limits,
-		workers:    map[ident.WorkerID]*zoneWorker{},
-		attempts:   newAttemptBook(),
-		services:   map[ident.ServiceID]fleet.Service{},
-		recovering: map[ident.JobID]int{},
-		failed:     map[ident.WorkerID]bool{},
-		openBy:     e.now + openWaitTTLs*e.leaseTTL(),
+		schedulerNumber: e.zoneLife,
+		sched:           sched.New(opts),
+		limits:          limits,
+		workers:         map[ident.WorkerID]*zoneWorker{},
+		attempts:        newAttemptBook(),
+		services:        map[ident.ServiceID]fleet.Service{},
+		recovering:      map[ident.JobID]int{},
+		failed:          map[ident.WorkerID]bool{},
+		openBy:          e.now + openWaitTTLs*e.leaseTTL(),
 	}
 }
 
@@ -229,9 +229,9 @@
 // A host that loses the stream and regains it has a new scheduler, which does
 // not know the replicas started shortly before and numbers its own from the
 // beginning. Two replicas could then run under one name. The sequence number
-// therefore also depends on the number of the scheduler.
+// therefore also depends on schedulerNumber.
 func (e *Engine) serviceJob(id ident.ServiceID) ident.JobID {
-	return ident.JobID{Zone: e.opts.Zone, Host: e.opts.Self.Host, Incarnation: e.opts.Self.Incarnation, Seq: serviceSeq(id, e.zone.generation)}
+	return ident.JobID{Zone: e.opts.Zone, Host: e.opts.Self.Host, Incarnation: e.opts.Self.Incarnation, Seq: serviceSeq(id, e.zone.schedulerNumber)}
 }
 
 // markCompute drains, cordons or uncordons a worker in the scheduler.
