--- a/engine/attempts.go
+++ b/engine/attempts.go
@@ -43,7 +43,7 @@
 	sendFailures int         // consecutive starts that failed before anything was sent
 	retryAt      time.Duration
 	startedAt    time.Duration // when the start was known to have taken effect
-	stop         stopOrder
+	stop         stopCall
 	// borrowed means that the units it uses still belong to the earlier holder
 	// that started it.
 	borrowed bool
@@ -91,7 +91,7 @@
 	key := lease.Key{Worker: cmd.Worker, Class: ports.ClassCompute}
 	epoch, held := e.leases.Epoch(key, e.now)
 	w := e.zone.workers[cmd.Worker]
-	if !held || w == nil || w.quiet {
+	if !held || w == nil || w.quiesced {
 		e.stepSched(sched.StartRefused{ID: cmd.ID})
 		return
 	}
@@ -172,7 +172,7 @@
 	default:
 		a.maybeSent = true
 	}
-	e.idleComputeIfQuiet(a.Worker)
+	e.reportComputeIdle(a.Worker)
 }
 
 func (e *Engine) started(a *attempt) {
@@ -180,10 +180,10 @@
 	a.startedAt = e.now
 	e.stepSched(sched.AttemptStarted{ID: a.ID})
 	if a.stop.control != "" {
-		e.sendStop(a)
+		e.resendStop(a)
 		return
 	}
-	e.expectEnd(a, 0)
+	e.scheduleEndReport(a, 0)
 }
 
 // startRefused handles a worker's refusal of a start.
@@ -200,7 +200,7 @@
 		e.stepLeases(lease.EpochRefused{Key: key, Epoch: a.lease})
 	}
 	if a.maybeSent {
-		e.cycleLease(a.Worker, a.lease)
+		e.reacquireLease(a.Worker, a.lease)
 		return
 	}
 	e.endNeverStarted(a, refusal)
@@ -216,8 +216,8 @@
 	}
 	a.phase = phaseEnding
 	e.propose(&ending{
-		a:    a,
-		then: sched.StartRefused{ID: a.ID, Reason: refusal},
+		a:          a,
+		schedEvent: sched.StartRefused{ID: a.ID, Reason: refusal},
 	}, endedRecord(a.ID, jobs.ResultNeverStarted, string(refusal)), 0)
 }
 
@@ -239,7 +239,7 @@
 		return
 	}
 	a.phase = phaseEnding
-	e.propose(&ending{a: a, then: ended, ack: t.ID}, endedRecord(a.ID, resultOfReport(t), t.Reason), 0)
+	e.propose(&ending{a: a, schedEvent: ended, ack: t.ID}, endedRecord(a.ID, resultOfReport(t), t.Reason), 0)
 }
 
 // endLost closes an attempt that may have run and can no longer be running. Its
@@ -254,7 +254,7 @@
 		return
 	}
 	a.phase = phaseEnding
-	e.propose(&ending{a: a, then: ended}, endedRecord(a.ID, jobs.ResultLost, reason), 0)
+	e.propose(&ending{a: a, schedEvent: ended}, endedRecord(a.ID, jobs.ResultLost, reason), 0)
 }
 
 func resultOfReport(t ports.TaskReport) jobs.Result {
@@ -293,7 +293,7 @@
 		e.note(NoteDisplacement, "displaces "+a.name+" of team "+string(a.Team)+" from worker "+string(cmd.Worker))
 	}
 	if cmd.Control == ports.ControlStop || cmd.Control == ports.ControlCheckpoint {
-		e.stopOrdered(a, cmd.Control)
+		e.stopSent(a, cmd.Control)
 	}
 }
 
--- a/engine/linger.go
+++ b/engine/linger.go
@@ -56,14 +56,14 @@
 	for id, c := range e.calls.lingering {
 		left := c.deadline - c.since
 		span := max(left, 0) + time.Duration(float64(max(left, 0))*e.opts.Lease.Drift)
-		if e.now >= c.since+span+callInFlight {
+		if e.now >= c.since+span+maxCallDelay {
 			e.endLingering(id, c)
 		}
 	}
 }
 
 // reportLingering returns the units of calls that a worker's report no longer
-// lists as running. Reports requested less than callInFlight after the end of a
+// lists as running. Reports requested less than maxCallDelay after the end of a
 // call do not count for it: its messages may not have arrived yet.
 func (e *Engine) reportLingering(worker ident.WorkerID, sentAt time.Duration, tasks []ports.TaskReport) {
 	running := map[string]bool{}
@@ -73,7 +73,7 @@
 		}
 	}
 	for id, c := range e.calls.lingering {
-		if c.worker == worker && sentAt >= c.since+callInFlight && !running[id.String()] {
+		if c.worker == worker && sentAt >= c.since+maxCallDelay && !running[id.String()] {
 			e.endLingering(id, c)
 		}
 	}
