--- a/engine/recovery.go
+++ b/engine/recovery.go
@@ -11,10 +11,10 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Waits of a recovery.
+// Intervals of a recovery.
 const (
-	callInFlight = 2 * time.Second // longest time from sending a call to its arrival
-	askPromises  = time.Second     // between requests for one peer's promise
+	maxCallDelay       = 2 * time.Second // maximum time from sending a call to its arrival
+	promiseAskInterval = time.Second     // interval between requests for the same peer's promise
 )
 
 func (e *Engine) recoveryConfig() jobs.RecoveryConfig {
@@ -22,46 +22,47 @@
 	return jobs.RecoveryConfig{
 		TaskTTL:  ttl,
 		Drift:    time.Duration(float64(ttl) * e.opts.Lease.Drift),
-		InFlight: callInFlight,
-		AskEvery: askPromises,
+		InFlight: maxCallDelay,
+		AskEvery: promiseAskInterval,
 	}
 }
 
-// becameOwner takes over the zone's jobs. A job without open attempts goes to
-// the scheduler at once, one with open attempts when all of them are settled.
+// becameOwner takes over the zone's jobs. A job without open attempts is passed
+// to the scheduler at once, a job with open attempts after all are settled.
 func (e *Engine) becameOwner(ev jobs.BecameOwner) {
 	if e.zone == nil {
-		return // gave up meanwhile; the wish has been withdrawn
+		return // scheduling was given up meanwhile; ownership is no longer wanted
 	}
 	if epoch, owns := e.owner.Epoch(); !owns || epoch != ev.Epoch {
-		return // over again already: another fence was read in the same step
+		return // ownership was lost in the same step: a later fence was read
 	}
-	e.takeStream(ev, ev.Epoch)
+	e.takeOverStream(ev, ev.Epoch)
 }
 
-// resumeStream takes the stream over again if this host still owns it: it gave
-// the scheduling up and took it back before the log could settle what was on
-// its way, so no new ownership is reported. Attempts of its own epoch are open
-// then as well, and nothing more of that former life may be on its way.
+// resumeStream takes over the stream again if this host still owns it. This
+// happens when the host gave up scheduling and resumed it before the log had
+// settled the proposals in flight: no new ownership is reported then. Attempts
+// of the host's own epoch may be open too, so the stream is taken over only
+// when no earlier proposal is in flight.
 func (e *Engine) resumeStream() {
 	epoch, owns := e.owner.Epoch()
 	if e.zone.epoch != 0 || !owns || len(e.proposals) > 0 || len(e.refusedEnds) > 0 {
 		return
 	}
-	const ofNoEpoch = 0
-	e.takeStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, ofNoEpoch)
+	const noOwnEpoch = 0
+	e.takeOverStream(jobs.BecameOwner{Epoch: epoch, Whole: true}, noOwnEpoch)
 }
 
-// takeStream restores the stream's jobs. Open attempts of other epochs than own
-// are settled first.
-func (e *Engine) takeStream(ev jobs.BecameOwner, own jobs.Epoch) {
+// takeOverStream restores the stream's jobs. Open attempts of epochs other than
+// ownEpoch are settled first.
+func (e *Engine) takeOverStream(ev jobs.BecameOwner, ownEpoch jobs.Epoch) {
 	e.note(NoteScheduler, "schedules zone "+string(e.opts.Zone))
 	if !ev.Whole {
 		e.note(NoteScheduler, "records of the zone's jobs had expired before they were written again: jobs may be missing")
 	}
 	e.zone.epoch = ev.Epoch
 	open := e.owner.State().Open()
-	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), own, open)
+	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), ownEpoch, open)
 	for _, o := range open {
 		e.zone.recovering[o.Attempt.Job]++
 	}
@@ -73,10 +74,10 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// cycleLease takes a worker's lease anew if this host holds it under the epoch
-// that a start may be on its way under. After it, that start cannot take
-// effect any more, and the grant shows whether it did.
-func (e *Engine) cycleLease(worker ident.WorkerID, epoch ports.Epoch) {
+// reacquireLease releases and reacquires a worker's compute lease if this host
+// holds it under epoch or an earlier one. A start in flight under epoch cannot
+// take effect after that, and the new grant shows whether it did.
+func (e *Engine) reacquireLease(worker ident.WorkerID, epoch ports.Epoch) {
 	w := e.zone.workers[worker]
 	if w == nil || !w.held || w.epoch > epoch {
 		return
@@ -87,7 +88,7 @@
 	e.stepLeases(lease.Want{Key: key, Wanted: true})
 }
 
-// restoreJobs hands over what needs no recovery.
+// restoreJobs passes the jobs without attempts to settle to the scheduler.
 func (e *Engine) restoreJobs() {
 	for _, job := range e.owner.State().Jobs() {
 		switch {
@@ -100,8 +101,9 @@
 	}
 }
 
-// endOrphanRequest closes a request that an earlier owner claimed and whose
-// outcome it did not record. It may have run, so its key stays used.
+// endOrphanRequest records an unknown outcome for a request that an earlier
+// owner claimed without recording its outcome. The request may have run, so its
+// idempotency key stays used.
 func (e *Engine) endOrphanRequest(job *jobs.Job) {
 	if e.claims.running[job.Job] {
 		return
@@ -133,9 +135,9 @@
 	}
 }
 
-// ageOf is how long ago a job was accepted by the wall clock. It orders the
-// queue and counts against the deadline; a wrong clock shifts both and breaks
-// no promise.
+// ageOf returns how long ago a job was accepted by the wall clock, at least 0.
+// It determines the job's place in the queue and the time left until its
+// deadline. A wrong clock shifts both but breaks no guarantee.
 func (e *Engine) ageOf(job *jobs.Job) time.Duration {
 	return max(e.wall.Sub(job.AcceptedTime()), 0)
 }
@@ -159,7 +161,7 @@
 	return res
 }
 
-// exhausted reports whether a task may not be tried again.
+// exhausted reports whether a task must not be attempted again.
 func exhausted(job *jobs.Job, task jobs.Task) bool {
 	if task.Result == jobs.ResultNeverStarted || task.Result == "" {
 		return false
@@ -168,9 +170,9 @@
 	return job.Spec.NonIdempotent || counted >= max(job.Spec.MaxAttempts, 1)
 }
 
-// displaced returns how many attempts of a task were displaced. The log says
-// only that they were stopped; a task that may not be displaced was stopped for
-// another reason, such as its limit, and that counts as a failure.
+// displaced returns how many attempts of a task were displaced. The log records
+// only that they were stopped. A task that must not be displaced was stopped
+// for another reason, such as its run time limit, which counts as a failure.
 func displaced(job *jobs.Job, task jobs.Task) int {
 	if job.Spec.Displaceable && !job.Spec.NonIdempotent {
 		return task.Stopped
@@ -210,16 +212,16 @@
 func (e *Engine) recoveryCommand(cmd jobs.RecoveryCommand) {
 	switch cmd := cmd.(type) {
 	case jobs.AskPromise:
-		e.emitPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Seq: cmd.Seq})
+		e.sendAskPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Seq: cmd.Seq})
 	case jobs.ReleasePromise:
-		e.emitPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Release: true})
+		e.sendAskPromise(cmd.Host, AskPromise{Worker: cmd.Worker, Release: true})
 	case jobs.HoldOff:
 		e.holdOff(cmd.Worker)
 	case jobs.Resume:
 		e.resume(cmd.Worker)
 	case jobs.Reacquire:
 		if w := e.zone.workers[cmd.Worker]; w != nil {
-			e.cycleLease(cmd.Worker, w.epoch)
+			e.reacquireLease(cmd.Worker, w.epoch)
 		}
 	case jobs.Adopt:
 		e.adoptAttempt(cmd)
@@ -230,7 +232,7 @@
 	}
 }
 
-// adoptAttempt takes over an attempt that runs on.
+// adoptAttempt takes over a running attempt of an earlier owner.
 func (e *Engine) adoptAttempt(cmd jobs.Adopt) {
 	id := cmd.Attempt.Attempt
 	if e.zone.attempts.get(id) != nil {
@@ -245,16 +247,16 @@
 		Assign: sched.Assign{ID: id, Worker: w.id, Team: job.Spec.Team, Need: job.Spec.Need, Run: job.Spec.Run},
 		phase:  phaseRunning,
 		lease:  w.epoch, startedAt: w.sentAt,
-		by: cmd.Report.Holder,
+		holder: cmd.Report.Holder,
 	})
 	e.countForeign(w)
 	if !w.marked {
 		e.addWorker(w)
 	}
-	e.settled(id.Job)
+	e.attemptSettled(id.Job)
 }
 
-// resolveAttempt records the end of an attempt that does not run any more.
+// resolveAttempt records the end of an attempt that no longer runs.
 func (e *Engine) resolveAttempt(cmd jobs.Resolve) {
 	id := cmd.Attempt.Attempt
 	if a := e.zone.attempts.get(id); a != nil {
@@ -264,16 +266,17 @@
 	e.propose(&resolution{zone: e.zone, cmd: cmd}, endedRecord(id, cmd.Result, cmd.Reason), 0)
 }
 
-// resolveOwn closes an attempt of this life whose worker could not be reached.
+// resolveOwn closes an attempt of this scheduler whose worker was unreachable.
 func (e *Engine) resolveOwn(a *attempt, cmd jobs.Resolve) {
 	if cmd.Result == jobs.ResultNeverStarted {
-		e.endNever(a, "")
+		e.endNeverStarted(a, "")
 		return
 	}
 	e.endLost(a, cmd.Reason)
 }
 
-// resolution is the record of how an earlier owner's attempt ended.
+// resolution is the proposal of the record of how an earlier owner's attempt
+// ended.
 type resolution struct {
 	zone *zoneScheduler
 	cmd  jobs.Resolve
@@ -286,8 +289,8 @@
 	if p.cmd.Result != jobs.ResultNeverStarted && p.cmd.Result != jobs.ResultLost {
 		e.ackTask(p.cmd.Attempt.Worker, taskName("", p.cmd.Attempt.Attempt))
 	}
-	e.leftOver(p.cmd.Attempt.Attempt)
-	e.settled(p.cmd.Attempt.Attempt.Job)
+	e.returnLeftUnits(p.cmd.Attempt.Attempt)
+	e.attemptSettled(p.cmd.Attempt.Attempt.Job)
 }
 
 func (p *resolution) void(e *Engine, ev jobs.Void) {
@@ -298,8 +301,9 @@
 
 func (p *resolution) undecided(*Engine) {}
 
-// settled counts a settled attempt and hands the job over after the last.
-func (e *Engine) settled(job ident.JobID) {
+// attemptSettled counts a settled attempt of a job and passes the job to
+// the scheduler after the last one.
+func (e *Engine) attemptSettled(job ident.JobID) {
 	e.zone.recovering[job]--
 	if e.zone.recovering[job] > 0 {
 		return
@@ -308,25 +312,27 @@
 	e.restoreJob(job)
 }
 
-// abandonRecovery frees the peers from the promises that an unfinished recovery
-// holds. Its successor may be one of them, and would wait for its own promise.
+// abandonRecovery releases the peers from the promises of an unfinished
+// recovery. The next owner may be one of these peers, and its recovery would
+// wait for the promise that it gave itself.
 func (e *Engine) abandonRecovery() {
 	if e.zone.recovery == nil {
 		return
 	}
 	for _, worker := range e.zone.recovery.Workers() {
 		for _, host := range e.zoneHosts().Hosts {
-			e.emitPromise(host, AskPromise{Worker: worker, Release: true})
+			e.sendAskPromise(host, AskPromise{Worker: worker, Release: true})
 		}
 		e.resume(worker)
 	}
 	e.zone.recovery = nil
 }
 
-// recoverAttempts settles the attempts of a worker that cannot be reached.
+// recoverAttempts starts a recovery that settles the open attempts of an
+// unreachable worker.
 func (e *Engine) recoverAttempts(w *zoneWorker, open []jobs.OpenAttempt) {
 	if e.zone.recovery != nil || e.zone.epoch == 0 {
-		return // one recovery at a time; the next tick asks again
+		return // one recovery at a time; the next tick retries
 	}
 	e.note(NoteScheduler, "worker "+string(w.id)+" cannot be reached; settling what ran there")
 	e.zone.recovery = jobs.NewRecovery(e.recoveryConfig(), e.zone.epoch+1, open)
@@ -334,22 +340,24 @@
 	e.stepRecovery(jobs.RecoveryTick{})
 }
 
-// yieldFor is how long a host that lost the stream to another leaves it there.
-// Both may believe for a moment to be the zone's scheduler; without the pause
-// they would take the stream from each other until their views agree.
-const yieldFor = 5 * time.Second
+// yieldWait is how long a host that lost the stream to another host waits
+// before it requests ownership again. Two hosts may both consider themselves
+// the zone's scheduler for a short time; without the wait they would take the
+// stream from each other until their views agree.
+const yieldWait = 5 * time.Second
 
-// tickYield wishes for the stream again if this host is still the one that
-// should schedule the zone.
+// tickYield requests ownership of the stream again after yieldWait, if this
+// host still is to schedule the zone.
 func (e *Engine) tickYield() {
-	if e.zone.yieldTo != 0 && e.now >= e.zone.yieldTo {
-		e.zone.yieldTo = 0
+	if e.zone.yieldUntil != 0 && e.now >= e.zone.yieldUntil {
+		e.zone.yieldUntil = 0
 		e.stepOwner(jobs.WantOwnership{Want: true})
 	}
 }
 
-// lostOwnership starts the zone's work anew without its jobs, which are the
-// next owner's now. Services stay with whoever holds the compute leases.
+// lostOwnership replaces the zone's scheduler by one without jobs, which now
+// belong to the next owner. Service replicas stay with the holder of the
+// compute leases.
 func (e *Engine) lostOwnership(ev jobs.LostOwnership) {
 	if e.zone == nil || e.zone.epoch != ev.Epoch {
 		return
@@ -357,10 +365,10 @@
 	e.note(NoteScheduler, "no longer schedules zone "+string(e.opts.Zone)+", "+ev.Owner.String()+" does")
 	e.abandonRecovery()
 	old := e.zone
-	e.leave(old)
+	e.recordLeftAttempts(old)
 	e.zone = e.newZone()
 	if ev.Owner != e.opts.Self {
-		e.zone.yieldTo = e.now + yieldFor
+		e.zone.yieldUntil = e.now + yieldWait
 		e.stepOwner(jobs.WantOwnership{Want: false})
 	}
 	e.zone.failed = old.failed
@@ -372,7 +380,7 @@
 	e.configureZone()
 	for _, w := range e.heldWorkers() {
 		e.countForeign(w)
-		e.addWorker(w) // not opened yet: without room
+		e.addWorker(w) // the new scheduler is not open yet: no capacity
 		e.applyReport(w)
 	}
 }
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -81,7 +81,7 @@
 	if spec.Kind == work.KindGang {
 		tasks = int64(spec.Tasks)
 	}
-	slots := s.cell.Slots(spec.Need, tasks)
+	slots := s.cell.TaskCapacity(spec.Need, tasks)
 	if slots >= tasks {
 		return nil
 	}
@@ -155,5 +155,5 @@
 
 // fitsNow reports whether a task of the job could start immediately.
 func (s *Scheduler) fitsNow(spec work.Spec) bool {
-	return s.queue.Len() == 0 && s.queryPlacer.Pack(place.Compute(spec.Need), place.None) != place.None
+	return s.queue.Len() == 0 && s.queryPlacer.Pack(place.ComputeResources(spec.Need), place.None) != place.None
 }
--- a/sched/dispatch.go
+++ b/sched/dispatch.go
@@ -31,7 +31,7 @@
 	if s.opts.FirstFit {
 		return
 	}
-	if s.queue.Partial() {
+	if s.queue.PartialScan() {
 		s.wake(&s.wakes.rescan, s.now+rescanInterval)
 	}
 	s.displace()
@@ -70,23 +70,23 @@
 // team are not refused, and capacity was freed since the class last failed to
 // fit.
 func (s *Scheduler) mayStart(class *queue.Class[*job]) bool {
-	if class.Mark != 0 && !s.mayFit(class) {
+	if class.FailedAt != 0 && !s.mayFit(class) {
 		return false
 	}
 	return !s.blocked(class.Head().Owner.team, class.Shape.Units)
 }
 
-// mayFit reports whether capacity that was freed since the class was marked may
-// fit one of its tasks.
+// mayFit reports whether capacity that was freed since class.FailedAt may fit
+// one of its tasks.
 func (s *Scheduler) mayFit(class *queue.Class[*job]) bool {
-	position := s.cell.Freed()
-	if class.Mark == position {
+	position := s.cell.FreedPosition()
+	if class.FailedAt == position {
 		return false
 	}
-	if s.cell.MayFitSince(class.Mark, &class.Shape.Need) {
+	if s.cell.MayFitSince(class.FailedAt, &class.Shape.Need) {
 		return true
 	}
-	class.Mark = position
+	class.FailedAt = position
 	return false
 }
 
@@ -103,12 +103,12 @@
 }
 
 // start starts one task of a job, or all tasks of a gang. If it does not fit,
-// start marks the class of the job with the current position in the log of
+// start sets FailedAt of the job's class to the current position in the log of
 // freed capacity.
 func (s *Scheduler) start(j *job) {
 	if j.gang() {
 		if !s.placeGang(j) && !s.limitBlocks(j) {
-			j.item.Class().Mark = s.cell.Freed()
+			j.item.Class().FailedAt = s.cell.FreedPosition()
 		}
 		return
 	}
@@ -117,11 +117,11 @@
 		ref = s.pickHeldWorker(j)
 	}
 	if ref == place.None || !s.cell.Reserve(ref, j.need) {
-		j.item.Class().Mark = s.cell.Freed()
+		j.item.Class().FailedAt = s.cell.FreedPosition()
 		return
 	}
 	if !s.tryUse(j.team, j.units, j.item.Due) {
-		s.cell.Undo(ref, j.need)
+		s.cell.Unreserve(ref, j.need)
 		return
 	}
 	s.assign(j, ref)
@@ -171,7 +171,7 @@
 func (s *Scheduler) tasksAssigned(j *job) {
 	s.recordStart(j)
 	s.updateLoad(j)
-	j.team.Started(j.item.Class())
+	j.team.RecordStart(j.item.Class())
 	if j.waiting() == 0 {
 		s.queue.Remove(&j.item)
 		s.endHold(j.hold)
--- a/sched/displace.go
+++ b/sched/displace.go
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, t := range s.queue.Ordered() {
-		if s.queue.Urgent() > 0 && s.queue.UrgentWithin(t) {
+		if s.queue.Urgent() > 0 && s.queue.WithinUrgentBound(t) {
 			t.Each(func(class *queue.Class[*job]) bool {
 				if class.Shape.Urgent {
 					s.displaceFor(class, nil, nil)
@@ -83,7 +83,7 @@
 // nearDeadline reports whether the head of a class, which has failed to fit, is
 // near its deadline. Urgent work and gangs are left out.
 func (s *Scheduler) nearDeadline(class *queue.Class[*job]) bool {
-	if class.Shape.Urgent || class.Mark == 0 {
+	if class.Shape.Urgent || class.FailedAt == 0 {
 		return false
 	}
 	j := class.Head().Owner
--- a/sched/rebalance.go
+++ b/sched/rebalance.go
@@ -37,7 +37,7 @@
 	j := under.First(s.limitAllows).Head().Owner
 	over := func(a *attempt) bool {
 		d := &demands[a.team.number]
-		return d.Used-d.Fair > shareTolerance
+		return d.Used-d.FairShare > shareTolerance
 	}
 	workers, found := s.victims(j.need, over, int64(1+s.cell.Len()/workersPerVictim))
 	if found == 0 {
@@ -60,7 +60,7 @@
 			demands[i].Wants = math.Inf(1)
 		}
 	}
-	queue.Divide(demands)
+	queue.SetFairShares(demands)
 	return demands
 }
 
@@ -71,8 +71,8 @@
 	deficit := shareTolerance
 	for i, t := range s.teamList {
 		d := &demands[i]
-		if d.Wants > d.Used && d.Fair-d.Used > deficit {
-			most, deficit = t, d.Fair-d.Used
+		if d.Wants > d.Used && d.FairShare-d.Used > deficit {
+			most, deficit = t, d.FairShare-d.Used
 		}
 	}
 	return most
