--- a/engine/reports.go
+++ b/engine/reports.go
@@ -157,7 +157,7 @@
 		left = -left / 2
 	}
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
-	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(left, minReportDelay)})
+	e.stepLeases(lease.RenewBy{Key: key, At: e.now + max(left, minReportDelay)})
 }
 
 // reconcileUnknownTask handles a task that this host did not start. Replicas
--- a/engine/stop.go
+++ b/engine/stop.go
@@ -59,5 +59,5 @@
 func (e *Engine) scheduleStopReport(a *attempt) {
 	key := lease.Key{Worker: a.Worker, Class: ports.ClassCompute}
 	waited := e.now - a.stop.first
-	e.stepLeases(lease.Hasten{Key: key, At: e.now + max(waited/2, minReportDelay)})
+	e.stepLeases(lease.RenewBy{Key: key, At: e.now + max(waited/2, minReportDelay)})
 }
--- a/lease/event.go
+++ b/lease/event.go
@@ -60,10 +60,10 @@
 	IDs []string
 }
 
-// Hasten moves the next renewal of a held lease, and with it the worker's
+// RenewBy moves the next renewal of a held lease, and with it the worker's
 // report, forward to At if it is due later. The caller sends it when a task is
 // expected to end by then.
-type Hasten struct {
+type RenewBy struct {
 	Key
 	At time.Duration
 }
@@ -97,7 +97,7 @@
 func (EpochRefused) isEvent() {}
 func (Acked) isEvent()        {}
 func (Idle) isEvent()         {}
-func (Hasten) isEvent()       {}
+func (RenewBy) isEvent()      {}
 func (ReleaseDone) isEvent()  {}
 func (Drain) isEvent()        {}
 func (Tick) isEvent()         {}
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -49,8 +49,8 @@
 		m.withControl(now, ev.Key, func(c *control) { m.epochRefused(now, c, ev) })
 	case Acked:
 		m.withControl(now, ev.Key, func(c *control) { c.acks = append(c.acks, ev.IDs...) })
-	case Hasten:
-		m.withControl(now, ev.Key, func(c *control) { m.hasten(c, ev.At) })
+	case RenewBy:
+		m.withControl(now, ev.Key, func(c *control) { m.renewBy(c, ev.At) })
 	case Idle:
 		m.withControl(now, ev.Key, func(c *control) { m.idle(now, c) })
 	case ReleaseDone:
@@ -63,8 +63,8 @@
 	return m.out
 }
 
-// hasten moves the next renewal of a held lease forward to at.
-func (m *Manager) hasten(c *control, at time.Duration) {
+// renewBy moves the next renewal of a held lease forward to at.
+func (m *Manager) renewBy(c *control, at time.Duration) {
 	if c.phase == phaseHeld && at < c.next {
 		c.next = at
 	}
