--- a/lease/arbiter_log.go
+++ b/lease/arbiter_log.go
@@ -39,18 +39,18 @@
 // LogEvent is the log's answer to an AppendFences or ReadFences.
 type LogEvent struct{ stream.Event }
 
-// Presumed sets whether a holder is presumed dead. This only decides who claims
-// a lease, not who owns it: a fence against a living holder delays work, but two
-// hosts never use the lease at once.
-type Presumed struct {
+// PresumedDead sets whether a holder is presumed dead. This only decides who
+// claims a lease, not who owns it: a fence against a living holder delays work,
+// but two hosts never use the lease at once.
+type PresumedDead struct {
 	Holder ident.Holder
-	Gone   bool
+	Dead   bool
 }
 
 func (AppendFences) isCommand() {}
 func (ReadFences) isCommand()   {}
 func (LogEvent) isEvent()       {}
-func (Presumed) isEvent()       {}
+func (PresumedDead) isEvent()   {}
 
 // LogArbiter assigns leases by fences in a stream of the log, for workers that
 // execute every start without checking its epoch. The newest fence of a lease
@@ -113,8 +113,8 @@
 		for _, key := range sortedKeys(a.claims) {
 			a.want(Want{Key: key})
 		}
-	case Presumed:
-		a.presumedDead[ev.Holder] = ev.Gone
+	case PresumedDead:
+		a.presumedDead[ev.Holder] = ev.Dead
 	case LogEvent:
 		a.logAnswered(now, ev.Event)
 	case Granted:
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -101,7 +101,7 @@
 	case "unwant":
 		h.step(n, Want{Key: rapid.SampledFrom(h.keys).Draw(h.t, "key"), Wanted: false})
 	case "presume":
-		h.step(n, Presumed{Holder: h.nodes[rapid.IntRange(0, len(h.nodes)-1).Draw(h.t, "gone")].holder, Gone: rapid.Bool().Draw(h.t, "presumed")})
+		h.step(n, PresumedDead{Holder: h.nodes[rapid.IntRange(0, len(h.nodes)-1).Draw(h.t, "gone")].holder, Dead: rapid.Bool().Draw(h.t, "presumed")})
 	case "pause":
 		n.paused = h.Now() + time.Duration(rapid.SampledFrom([]int{500, 3000, 9000}).Draw(h.t, "pause ms"))*time.Millisecond
 	}
@@ -223,7 +223,7 @@
 func (h *history) reportDeadHosts() {
 	for _, n := range h.nodes {
 		for _, other := range h.nodes {
-			h.step(n, Presumed{Holder: other.holder, Gone: other.dead})
+			h.step(n, PresumedDead{Holder: other.holder, Dead: other.dead})
 		}
 	}
 	h.After(time.Second, h.reportDeadHosts)
--- a/lease/log_history_test.go
+++ b/lease/log_history_test.go
@@ -217,7 +217,7 @@
 	p.step(0, Want{Key: testKey, Wanted: true})
 	p.run(time.Minute, func() bool { return p.mayStart(0) }, 0)
 	p.step(1, Want{Key: testKey, Wanted: true})
-	p.step(1, Presumed{Holder: pairHolders[0], Gone: true})
+	p.step(1, PresumedDead{Holder: pairHolders[0], Dead: true})
 	var last time.Duration
 	p.run(time.Minute, func() bool {
 		if p.mayStart(0) {
@@ -244,7 +244,7 @@
 		}
 	}
 	p.step(1, Want{Key: testKey, Wanted: true})
-	p.step(1, Presumed{Holder: pairHolders[0], Gone: true})
+	p.step(1, PresumedDead{Holder: pairHolders[0], Dead: true})
 	p.run(time.Minute, func() bool { return p.mayStart(1) }, 1)
 	p.run(time.Second, func() bool { return p.mayStart(0) }, 0, 1)
 	if p.mayStart(0) {
@@ -259,7 +259,7 @@
 	p := newPair()
 	for i := range 2 {
 		p.step(i, Want{Key: testKey, Wanted: true})
-		p.step(i, Presumed{Holder: pairHolders[1-i], Gone: true})
+		p.step(i, PresumedDead{Holder: pairHolders[1-i], Dead: true})
 	}
 	p.run(time.Minute, func() bool { return p.mayStart(0) || p.mayStart(1) }, 0, 1)
 	if !p.mayStart(0) && !p.mayStart(1) {
