--- a/host/helpers_test.go
+++ b/host/helpers_test.go
@@ -69,7 +69,7 @@
 }
 
 // Ping responses must rotate through all addresses. A host needs the address of some
-// other host when the leader is gone.
+// other host when the leader has failed.
 func TestPingResponsesRotateAddresses(t *testing.T) {
 	h := manyHelpers(50)
 	sent := make(map[string]bool)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Takeovers repeat if each new leader is considered gone before its first entries are
+// Takeovers repeat if each new leader counts as failed before its first entries are
 // read. The election timeout grows with recent takeovers and shrinks again later.
 func TestElectionTimeoutGrowsWithRecentTakeovers(t *testing.T) {
 	e := newElection(New(platform.Settings{}, telemetry.Discard()))
@@ -172,11 +172,11 @@
 // would be listed again at its next ping, as a new one without history.
 func TestAdviceTimeoutKeepsHelper(t *testing.T) {
 	timeout := connect.NewError(connect.CodeDeadlineExceeded, context.DeadlineExceeded)
-	gone := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
+	refused := connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)
 	for _, tc := range []struct {
 		err             error
 		listed, notSent bool
-	}{{timeout, true, false}, {gone, false, true}} {
+	}{{timeout, true, false}, {refused, false, true}} {
 		h := &Host{helpers: manyHelpers(2)}
 		if got := platform.IsNotSent(h.classifyAdviceError("h000", tc.err)); got != tc.notSent {
 			t.Errorf("%v: not sent is %v, want %v", tc.err, got, tc.notSent)
--- a/model/model.go
+++ b/model/model.go
@@ -180,9 +180,9 @@
 	Fence  int64
 }
 
-// HoldRequest is the heartbeat request to a worker: it renews the leases of all its
-// runs, acks the ends up to AckedUpTo, and asks for the remaining runs and ends.
-type HoldRequest struct {
+// ProbeRequest renews the leases of all runs of a worker, acks the ends up to AckedUpTo,
+// and asks for the remaining runs and ends.
+type ProbeRequest struct {
 	Worker    WorkerRef
 	UntilMs   int64 // new end of the leases on the worker's clock, in milliseconds; 0 renews none
 	AckedUpTo int64
@@ -216,8 +216,8 @@
 	Checkpoint   string
 }
 
-// HoldResponse is a worker's response to a HoldRequest.
-type HoldResponse struct {
+// ProbeResponse is a worker's response to a ProbeRequest.
+type ProbeResponse struct {
 	ClockMs  int64
 	BornUnix int64
 	Running  []Running
--- a/region/advice.go
+++ b/region/advice.go
@@ -50,8 +50,8 @@
 	return &a.marks[w.slot]
 }
 
-// note stores the answer about a worker.
-func (a *adviceState) note(m adviceMark) {
+// store stores the answer about a worker.
+func (a *adviceState) store(m adviceMark) {
 	if missing := m.worker.slot + 1 - len(a.marks); missing > 0 {
 		a.marks = append(a.marks, make([]adviceMark, missing)...)
 	}
@@ -125,14 +125,14 @@
 	}
 }
 
-// canRequestAdvice reports whether a call about the step could be sent now, and notes
+// canRequestAdvice reports whether a call about the step could be sent now, and records
 // what blocks it. It checks the longest possible call, which is accepted wherever a
 // shorter one is. With all hosts busy, no list of workers is built.
 func (s *Scheduler) canRequestAdvice(st *step) bool {
 	if st.advice.inFlight || s.now < st.advice.retryAt {
 		return false
 	}
-	if s.linkLoad > fullLink && !st.pressing {
+	if s.linkLoad > fullLink && !st.latencySensitive {
 		st.heldBy = "link" // calls for advice name many workers and are the largest calls
 		s.dirty = true
 		return false
@@ -206,11 +206,11 @@
 			continue
 		}
 		room := w.free().Sub(w.claimed)
-		if w.reserved == st || w.kept == st || len(w.runs) > 0 && st.rec.Gang {
+		if w.reserved == st || w.softReserved == st || len(w.runs) > 0 && st.rec.Gang {
 			room = room.Add(s.freedWithin(w, answerTime))
 		}
-		if n := min(timesIn(st.room(), room), want-found); n > 0 {
-			w.claimed = w.claimed.Add(st.room().Times(int64(n)))
+		if n := min(timesIn(st.demand(), room), want-found); n > 0 {
+			w.claimed = w.claimed.Add(st.demand().Times(int64(n)))
 			found += n
 		}
 	}
@@ -226,7 +226,7 @@
 // workersToAsk returns the workers to name in a call now: eligible ones whose tickets
 // expire and those without an answer. Workers with room come first.
 func (s *Scheduler) workersToAsk(st *step) []string {
-	var roomy, full []string
+	var withRoom, full []string
 	stale, unknown := 0, 0
 	neededUntil := s.now + st.adviceCost(len(s.workerList)) + adviceMargin
 	for _, w := range s.workerList {
@@ -242,8 +242,8 @@
 		default:
 			continue
 		}
-		if st.room().Fits(w.free()) {
-			roomy = append(roomy, w.entry.ID)
+		if st.demand().Fits(w.free()) {
+			withRoom = append(withRoom, w.entry.ID)
 		} else {
 			full = append(full, w.entry.ID)
 		}
@@ -252,25 +252,25 @@
 		// A few new workers do not justify a separate call.
 		return nil
 	}
-	names := append(roomy, full...)
+	names := append(withRoom, full...)
 	return names[:min(len(names), st.maxWorkersPerCall())]
 }
 
-// noteAdviceCall updates the backlog of the host through which the call was sent.
-func (s *Scheduler) noteAdviceCall(ev Advised) {
+// updateBacklog updates the backlog of the host through which the call was sent.
+func (s *Scheduler) updateBacklog(ev AdviceAnswered) {
 	switch {
 	case !ev.Failed:
-		s.advisers.answered(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.answered(ev.Request.Host, ev.Request.stepKey(), s.now)
 	case ev.NotSent:
-		s.advisers.notSent(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.notSent(ev.Request.Host, ev.Request.stepKey(), s.now)
 	default:
-		s.advisers.unanswered(ev.Order.Host, ev.Order.stepKey(), s.now)
+		s.advisers.unanswered(ev.Request.Host, ev.Request.stepKey(), s.now)
 	}
 }
 
-func (s *Scheduler) adviceAnswered(ev Advised) {
-	s.noteAdviceCall(ev)
-	t := s.findTask(model.TaskID{Job: ev.Order.Job, Occurrence: ev.Order.Occurrence, Step: ev.Order.Step})
+func (s *Scheduler) adviceAnswered(ev AdviceAnswered) {
+	s.updateBacklog(ev)
+	t := s.findTask(model.TaskID{Job: ev.Request.Job, Occurrence: ev.Request.Occurrence, Step: ev.Request.Step})
 	if t == nil {
 		return
 	}
@@ -291,7 +291,7 @@
 		tickets[k.Worker] = k.Ticket
 	}
 	until := ev.At + time.Duration(st.job.rec.Policy.GetAdvice().GetValidMs())*time.Millisecond - adviceMargin
-	for _, id := range ev.Order.Workers {
+	for _, id := range ev.Request.Workers {
 		w, known := s.workers[id]
 		if !known {
 			continue // it has left the host list since the call
@@ -301,7 +301,7 @@
 		if good {
 			m.until = until
 		}
-		st.advice.note(m)
+		st.advice.store(m)
 	}
 	s.dirty = true
 }
--- a/region/event.go
+++ b/region/event.go
@@ -7,13 +7,13 @@
 	"github.com/fireflyfold/fireflyfold/record"
 )
 
-// Event is an input of the scheduler.
+// Event is an input of the scheduler, passed to Scheduler.Handle.
 type Event interface{ isEvent() }
 
 // Command is an action that the scheduler requests from its driver.
 type Command interface{ isCommand() }
 
-// Events that Step accepts.
+// Events that Handle accepts.
 type (
 	// IntakeRead holds records of the intake, the topic that every host appends to, in
 	// log order.
@@ -43,39 +43,40 @@
 		SentAt time.Duration
 	}
 
-	// Held is the answer to a Hold that was sent at SentAt.
-	Held struct {
-		Order  model.HoldRequest
-		SentAt time.Duration
-		Hold   model.HoldResponse
-		Err    CallError
+	// ProbeAnswered is the answer to a Probe that was sent at SentAt.
+	ProbeAnswered struct {
+		Request  model.ProbeRequest
+		SentAt   time.Duration
+		Response model.ProbeResponse
+		Err      CallError
 	}
 
 	// StartAnswered is the answer to a Start that was sent at SentAt.
 	StartAnswered struct {
-		Order  model.StartRequest
-		SentAt time.Duration
-		Err    CallError
+		Request model.StartRequest
+		SentAt  time.Duration
+		Err     CallError
 	}
 
 	// StopAnswered is the answer to a Stop that was sent at SentAt.
 	StopAnswered struct {
-		Order  model.StopRequest
-		SentAt time.Duration
-		Err    CallError
+		Request model.StopRequest
+		SentAt  time.Duration
+		Err     CallError
 	}
 
-	// Advised is the answer to an Advise.
-	Advised struct {
-		Order   Advise
+	// AdviceAnswered is the answer to an Advise.
+	AdviceAnswered struct {
+		Request Advise
 		Tickets []model.Ticket
 		At      time.Duration // when the answer came
 		Failed  bool
 		NotSent bool // the call failed before it reached the service
 	}
 
-	// HostsSeen lists the hosts through which the advice service can be called.
-	HostsSeen struct{ Hosts []string }
+	// AdviceHostsChanged reports the new list of the hosts through which the advice
+	// service can be called.
+	AdviceHostsChanged struct{ Hosts []string }
 
 	// Tick advances time. UnixMs is the time of day. LoopLag is how late the driver
 	// handled the tick; on a busy processor every event waits as long. LinkLoad is the
@@ -91,20 +92,20 @@
 	Schedule struct{}
 )
 
-func (IntakeRead) isEvent()     {}
-func (EntriesRead) isEvent()    {}
-func (Lead) isEvent()           {}
-func (ConfigRead) isEvent()     {}
-func (WorkerListed) isEvent()   {}
-func (WorkerUnlisted) isEvent() {}
-func (Committed) isEvent()      {}
-func (Held) isEvent()           {}
-func (StartAnswered) isEvent()  {}
-func (StopAnswered) isEvent()   {}
-func (Advised) isEvent()        {}
-func (HostsSeen) isEvent()      {}
-func (Tick) isEvent()           {}
-func (Schedule) isEvent()       {}
+func (IntakeRead) isEvent()         {}
+func (EntriesRead) isEvent()        {}
+func (Lead) isEvent()               {}
+func (ConfigRead) isEvent()         {}
+func (WorkerListed) isEvent()       {}
+func (WorkerUnlisted) isEvent()     {}
+func (Committed) isEvent()          {}
+func (ProbeAnswered) isEvent()      {}
+func (StartAnswered) isEvent()      {}
+func (StopAnswered) isEvent()       {}
+func (AdviceAnswered) isEvent()     {}
+func (AdviceHostsChanged) isEvent() {}
+func (Tick) isEvent()               {}
+func (Schedule) isEvent()           {}
 
 // CallError is the outcome of a call to a worker.
 type CallError int
@@ -116,14 +117,14 @@
 	CallRefused                           // certainly not executed: the worker rejected it
 	CallFenced                            // the worker has seen a higher fencing token
 	CallOldRun                            // the run was stopped or has ended there before
-	CallLeaseExpired                      // the lease that the order grants has expired
+	CallLeaseExpired                      // the lease that the call grants has expired
 	CallNoRoom                            // the worker has no room for it
 	CallNoTicket                          // the ticket is not valid on the worker
 	CallOtherIncarnation                  // another incarnation of the worker answered
 	CallNoAnswer                          // may have been executed, or may be executed later
 )
 
-// Commands that Step returns. A command with a field After is executed after that delay.
+// Commands that Handle returns. A command with a field After is executed after that delay.
 type (
 	// Append writes entries to the log in order. Seq is the number of the last one.
 	Append struct {
@@ -133,19 +134,19 @@
 
 	// Start asks a worker to start a run.
 	Start struct {
-		Order model.StartRequest
-		After time.Duration
+		Request model.StartRequest
+		After   time.Duration
 	}
 	// Stop asks a worker to stop a run.
 	Stop struct {
-		Order model.StopRequest
-		After time.Duration
+		Request model.StopRequest
+		After   time.Duration
 	}
-	// Hold is a probe of a worker: it renews its leases and reads which runs are
-	// alive or have ended.
-	Hold struct {
-		Order model.HoldRequest
-		After time.Duration
+	// Probe renews the leases of a worker and reads which of its runs are running or
+	// have ended.
+	Probe struct {
+		Request model.ProbeRequest
+		After   time.Duration
 	}
 
 	// Advise asks the advice service, through Host, on which workers a step may run.
@@ -168,15 +169,15 @@
 		Timed     bool // runs at set times and does not count as waiting
 	}
 
-	// Deposed reports that a worker has seen a higher fencing token: another host
-	// leads.
-	Deposed struct{ Worker string }
+	// StepDown ends the leadership, because Worker has seen a higher fencing token:
+	// another host leads.
+	StepDown struct{ Worker string }
 
 	// Explain is a log line that records a decision and its inputs.
 	Explain struct {
-		Job    string
-		What   string
-		Fields []Field
+		Job     string
+		Message string
+		Fields  []Field
 	}
 )
 
@@ -186,14 +187,14 @@
 	Value any
 }
 
-func (Append) isCommand()  {}
-func (Start) isCommand()   {}
-func (Stop) isCommand()    {}
-func (Hold) isCommand()    {}
-func (Advise) isCommand()  {}
-func (Publish) isCommand() {}
-func (Deposed) isCommand() {}
-func (Explain) isCommand() {}
+func (Append) isCommand()   {}
+func (Start) isCommand()    {}
+func (Stop) isCommand()     {}
+func (Probe) isCommand()    {}
+func (Advise) isCommand()   {}
+func (Publish) isCommand()  {}
+func (StepDown) isCommand() {}
+func (Explain) isCommand()  {}
 
 // State is the state of a job as callers see it.
 type State int
--- a/region/gangplace.go
+++ b/region/gangplace.go
@@ -87,7 +87,7 @@
 		if why != fits {
 			continue
 		}
-		n := timesIn(st.room(), w.free())
+		n := timesIn(st.demand(), w.free())
 		if limit := int(st.rec.AntiAffinity); limit > 0 {
 			n = min(n, limit)
 		}
@@ -101,8 +101,8 @@
 }
 
 // similarSpeedPlaces returns the places with room for all members whose workers differ
-// least in speed. A gang is as slow as its slowest member, and the room of faster
-// members is held idle meanwhile. Of sets that differ equally the fastest is chosen.
+// least in speed. A gang is as slow as its slowest member, and the resources of faster
+// members are idle meanwhile. Of sets that differ equally the fastest is chosen.
 func similarSpeedPlaces(places []gangPlace, members int) []gangPlace {
 	slices.SortStableFunc(places, func(a, b gangPlace) int { return cmp.Compare(b.worker.speed.logRatio, a.worker.speed.logRatio) })
 	var (
@@ -179,7 +179,7 @@
 }
 
 // reserve keeps other batch work off the workers where a gang can have room soonest, as
-// many as it needs. Without it, small tasks take every hole that a wide gang needs, and
+// many as it needs. Without it, small tasks take all room that a wide gang needs, and
 // the gang starts only when the load falls. Workers already reserved for the gang come
 // first, since the room collected on a worker is lost when the gang moves to another.
 // The first gangs reserve firmly, against all but urgent small and long-running tasks;
@@ -187,10 +187,10 @@
 func (s *Scheduler) reserve(st *step, firm bool) {
 	var places []gangPlace
 	for _, w := range s.usableNow {
-		if w.reserved != nil || w.kept != nil || !s.suits(st, w) || s.keptApart(st, w) {
+		if w.reserved != nil || w.softReserved != nil || !s.suits(st, w) || s.keptApart(st, w) {
 			continue
 		}
-		if n := timesIn(st.room(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
+		if n := timesIn(st.demand(), w.free().Add(s.freedWithin(w, freeHorizon))); n > 0 {
 			places = append(places, gangPlace{worker: w, n: n})
 		}
 	}
@@ -206,7 +206,7 @@
 		if firm {
 			places[best].worker.reserved = st
 		} else {
-			places[best].worker.kept = st
+			places[best].worker.softReserved = st
 		}
 		s.freeBounds.valid = false
 		places = append(places[:best], places[best+1:]...)
@@ -225,16 +225,16 @@
 func (s *Scheduler) suits(st *step, w *worker) bool {
 	return w.entry.Service == st.job.rec.Policy.GetService() &&
 		(st.rec.Requires == "" || w.entry.HasLabel(st.rec.Requires)) &&
-		!st.ruledOut(w) && st.room().Fits(w.entry.Capacity)
+		!st.ruledOut(w) && st.demand().Fits(w.entry.Capacity)
 }
 
-// freedWithin returns the room of the runs on a worker that are expected to end within
+// freedWithin returns the resources of the runs on a worker that are expected to end within
 // a time.
 func (s *Scheduler) freedWithin(w *worker, within time.Duration) model.Resources {
 	var sum model.Resources
 	for _, r := range w.runs {
 		if r.endsAt < s.now+within {
-			sum = sum.Add(r.room)
+			sum = sum.Add(r.demand)
 		}
 	}
 	return sum
--- a/region/job.go
+++ b/region/job.go
@@ -34,22 +34,22 @@
 
 // step is a set of identical tasks of one occurrence.
 type step struct {
-	job             *job
-	occ             *occurrence
-	index           int32
-	rec             *record.Step
-	request         model.Resources
-	tasks           []*task
-	open            int           // tasks not done
-	ready           bool          // all steps that it depends on are done
-	readyAt         time.Duration // when that became true
-	latestStart     time.Duration // latest start that still meets the objective
-	latestForCredit time.Duration // latest start that still earns partial credit
-	queued          bool          // on the ready list
-	advice          adviceState
-	heldBy          string // why it could not start in the last pass that tried it; reported as held_by
-	notUntil        time.Duration
-	pressing        bool // as of the newest pass
+	job              *job
+	occ              *occurrence
+	index            int32
+	rec              *record.Step
+	request          model.Resources
+	tasks            []*task
+	open             int           // tasks not done
+	ready            bool          // all steps that it depends on are done
+	readyAt          time.Duration // when that became true
+	latestStart      time.Duration // latest start that still meets the objective
+	latestForCredit  time.Duration // latest start that still earns partial credit
+	queued           bool          // on the ready list
+	advice           adviceState
+	heldBy           string // why it could not start in the last pass that tried it; reported as held_by
+	notUntil         time.Duration
+	latencySensitive bool // as of the newest pass
 
 	waitingSince time.Duration // since when it has a waiting task
 	preemptedAt  time.Duration // when runs were last preempted for it
@@ -77,7 +77,7 @@
 // waiting reports whether the task has yet to be assigned.
 func (t *task) waiting() bool { return !t.done && t.run == nil }
 
-func (j *job) over() bool     { return j.cancelled || j.failed || j.complete() }
+func (j *job) ended() bool    { return j.cancelled || j.failed || j.complete() }
 func (j *job) periodic() bool { return j.rec.RepeatCount > 0 }
 
 // complete reports whether every task of every occurrence is done.
@@ -151,7 +151,7 @@
 // enqueueReadySteps queues the steps whose dependencies are done.
 func (s *Scheduler) enqueueReadySteps(occ *occurrence) {
 	for _, st := range occ.steps {
-		if st.open == 0 || st.job.over() {
+		if st.open == 0 || st.job.ended() {
 			continue
 		}
 		st.ready = true
@@ -207,10 +207,10 @@
 func (s *Scheduler) addDueOccurrences() {
 	left := s.periodic[:0]
 	for _, j := range s.periodic {
-		for !j.over() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
+		for !j.ended() && j.nextOcc < j.rec.RepeatCount && s.unixMs >= j.dueUnixMs(j.nextOcc) {
 			s.addOccurrence(j)
 		}
-		if !j.over() && j.nextOcc < j.rec.RepeatCount {
+		if !j.ended() && j.nextOcc < j.rec.RepeatCount {
 			left = append(left, j)
 		}
 	}
@@ -228,7 +228,7 @@
 		s.cancelledEarly[id] = s.now
 		return
 	}
-	if j.over() {
+	if j.ended() {
 		return
 	}
 	j.cancelled = true
@@ -238,7 +238,7 @@
 
 // fail ends a job because task t has used up its attempts.
 func (s *Scheduler) fail(j *job, t *task) {
-	if j.over() {
+	if j.ended() {
 		return
 	}
 	j.failed = true
@@ -339,7 +339,7 @@
 // arrive within seconds, long before that.
 func (s *Scheduler) retireJobs() {
 	n := 0
-	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusKept {
+	for n < len(s.finished) && s.now-s.finished[n].endedAt > 2*s.opts.StatusRetention {
 		j := s.finished[n]
 		if j.anyRun(func(*run) bool { return true }) {
 			break
@@ -350,7 +350,7 @@
 	}
 	s.finished = s.finished[n:]
 	for id, at := range s.cancelledEarly {
-		if s.now-at > s.opts.StatusKept {
+		if s.now-at > s.opts.StatusRetention {
 			delete(s.cancelledEarly, id)
 		}
 	}
--- a/region/lease.go
+++ b/region/lease.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// shortLease is the lease of a worker with pressing work. A probe waits at the worker
-	// for a probesPerLease-th of it, a lost probe is noticed 300 ms later, and the next
-	// ones must be answered before a lease is granted again.
+	// shortLease is the lease of a worker with latency-sensitive work. A probe waits at the
+	// worker for up to shortLease/probesPerLease, a lost probe is detected 300 ms later,
+	// and further ones must be answered before a lease is granted again.
 	shortLease = 1200 * time.Millisecond
 	// probesPerLease is how many probes of a worker fit into its lease: one may be lost.
 	probesPerLease = 3
@@ -13,26 +13,26 @@
 	// worker's margin, advice and an append to the log.
 	restartTime = lapseMargin + 200*time.Millisecond
 	// separationShare is the part of a deferrable step's slack during which it avoids
-	// workers with pressing work. Afterwards it may use any worker, as there may be no
-	// other room.
+	// workers with latency-sensitive work. Afterwards it may use any worker, as there may
+	// be no other room.
 	separationShare = 0.5
 )
 
-// pressing reports whether the step's result is worthless if it is delayed by the longest
-// lease and run again. Other steps are deferrable.
+// latencySensitive reports whether the step's result is worthless if the step must be run
+// again after the longest lease. Other steps are deferrable.
 //
 // A task on a worker behind a network partition can start elsewhere only when the
-// worker's lease is over. Pressing work therefore has short leases. Deferrable work has
-// long ones: most partitions end before the lease does, and a restart would lose its
-// progress. A worker has one lease for all its runs, so the two kinds are placed on
-// separate workers while there is room.
+// worker's lease has expired. Latency-sensitive work therefore has short leases.
+// Deferrable work has long ones: most partitions end before the lease does, and a restart
+// would lose its progress. A worker has one lease for all its runs, so the two kinds are
+// placed on separate workers while there is room.
 //
-// With leases of 6 s, a partition of a zone for 6 s held the urgent tasks there, of
+// With leases of 6 s, a partition of a zone for 6 s delayed the urgent tasks there, of
 // 0.64 s, for its whole length, beyond three times their objective.
 //
 // Declared run times are up to 90% off, and a fifth of the urgent tasks would count as
 // deferrable by them. The usual run time of the queue counts if it is shorter.
-func (s *Scheduler) pressing(st *step) bool {
+func (s *Scheduler) latencySensitive(st *step) bool {
 	if st.rec.LongRunning {
 		return false
 	}
@@ -46,20 +46,20 @@
 }
 
 // runCounts counts the runs on a worker by kind.
-type runCounts struct{ pressing, deferrable int }
+type runCounts struct{ latencySensitive, deferrable int }
 
-func (n *runCounts) add(pressing bool, by int) {
-	if pressing {
-		n.pressing += by
+func (n *runCounts) add(latencySensitive bool, by int) {
+	if latencySensitive {
+		n.latencySensitive += by
 		return
 	}
 	n.deferrable += by
 }
 
 // leaseFor returns the length of the lease that a worker gets. An idle worker gets a short
-// one: a granted lease cannot be shortened and would apply to pressing work placed there
-// next. With the leader's link full, probes are too late to renew short leases, and runs
-// whose leases lapse must be started again.
+// one: a granted lease cannot be shortened and would apply to latency-sensitive work
+// placed there next. With the leader's link full, probes are too late to renew short
+// leases, and runs whose leases lapse must be started again.
 func (s *Scheduler) leaseFor(w *worker) time.Duration {
 	if w.counts.deferrable > 0 || s.linkLoad > fullLink {
 		return s.opts.Lease
@@ -79,13 +79,13 @@
 }
 
 const (
-	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and pressing
-	// work would share a lease behind all other candidates. It is more than any worker
-	// has, so that best fit decides only among workers of one kind.
+	// mixPenalty, in thousandths of a core, ranks a worker where deferrable and
+	// latency-sensitive work would share a lease behind all other candidates. It is more
+	// than any worker has, so that best fit decides only among workers of one kind.
 	mixPenalty = 1e5
 	// alreadyMixedBonus ranks workers that both kinds share already before those with
 	// deferrable work alone. The deferrable work there ends and none is added, which
-	// leaves some workers with pressing work only.
+	// leaves some workers with latency-sensitive work only.
 	alreadyMixedBonus = mixPenalty / 2
 )
 
@@ -93,11 +93,11 @@
 // add to its score for a step.
 func (s *Scheduler) apartScore(st *step, w *worker) float64 {
 	switch {
-	case !st.pressing && w.counts.pressing > 0:
+	case !st.latencySensitive && w.counts.latencySensitive > 0:
 		return -mixPenalty
-	case !st.pressing || w.counts.deferrable == 0 && !s.longLeased(w):
+	case !st.latencySensitive || w.counts.deferrable == 0 && !s.longLeased(w):
 		return 0
-	case w.counts.pressing > 0:
+	case w.counts.latencySensitive > 0:
 		return alreadyMixedBonus - mixPenalty
 	}
 	return -mixPenalty
@@ -110,11 +110,11 @@
 	return left > 2*shortLease
 }
 
-// keptApart reports whether a deferrable step must avoid a worker because of the pressing
-// work there. A lower score is not enough: most work is deferrable and would fill all
-// remaining room, and soon all workers would have long leases.
+// keptApart reports whether a deferrable step must avoid a worker because of the
+// latency-sensitive work there. A lower score is not enough: most work is deferrable and
+// would fill all remaining room, and soon all workers would have long leases.
 func (s *Scheduler) keptApart(st *step, w *worker) bool {
-	if w.counts.pressing == 0 || st.rec.LongRunning || st.pressing {
+	if w.counts.latencySensitive == 0 || st.rec.LongRunning || st.latencySensitive {
 		return false
 	}
 	separationTime := time.Duration(separationShare * float64(st.latestStart-st.readyAt))
--- a/region/overload_test.go
+++ b/region/overload_test.go
@@ -11,14 +11,14 @@
 // processor busy, and every answer waits. Probes at their normal rate are half of its
 // calls: starts and calls for advice wait behind them, time out and are retried.
 func TestProbesSlowDownWhileEventsWait(t *testing.T) {
-	pause := func(behind time.Duration) time.Duration {
+	pause := func(lag time.Duration) time.Duration {
 		s, now := newBacklogScheduler(1, 0, 0)
 		for range 20 * delaySamples {
-			s.Step(now, Tick{UnixMs: now.Milliseconds(), LoopLag: behind})
+			s.Handle(now, Tick{UnixMs: now.Milliseconds(), LoopLag: lag})
 		}
-		order := model.HoldRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
-		for _, c := range s.Step(now, Held{Order: order, SentAt: now, Hold: model.HoldResponse{ClockMs: 1, BornUnix: 1}}) {
-			if h, ok := c.(Hold); ok {
+		request := model.ProbeRequest{Worker: model.WorkerRef{ID: "w000", BornUnix: 1}}
+		for _, c := range s.Handle(now, ProbeAnswered{Request: request, SentAt: now, Response: model.ProbeResponse{ClockMs: 1, BornUnix: 1}}) {
+			if h, ok := c.(Probe); ok {
 				return h.After
 			}
 		}
@@ -42,9 +42,9 @@
 func TestSlowLogIsNotStalled(t *testing.T) {
 	const append = 400 * time.Millisecond
 	s := New(testOptions())
-	s.Step(time.Hour, Lead{Fence: 1})
+	s.Handle(time.Hour, Lead{Fence: 1})
 	s.seq = 1
-	s.Step(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
+	s.Handle(time.Hour+append, Committed{Seq: 1, SentAt: time.Hour})
 	s.seq = 2
 	s.now = time.Hour + 2*append
 	if s.logStalled() {
@@ -57,14 +57,14 @@
 }
 
 // Guards against a leader's link that stays full because of probes, most of its calls:
-// starts and appends wait behind them, answers are late, leases of pressing work lapse, and
-// lapsed runs are started again. Probes slow down as the link fills, and leases become long
-// enough for late renewals.
+// starts and appends wait behind them, answers are late, leases of latency-sensitive work
+// lapse, and lapsed runs are started again. Probes slow down as the link fills, and leases
+// become long enough for late renewals.
 func TestProbesSlowDownAndLeasesLengthenOnFullLink(t *testing.T) {
 	at := func(load float64) (pause, lease time.Duration) {
 		s, now := newBacklogScheduler(1, 0, 0)
-		s.Step(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
-		return s.probePause(), s.leaseFor(&worker{counts: runCounts{pressing: 1}})
+		s.Handle(now, Tick{UnixMs: now.Milliseconds(), LinkLoad: load})
+		return s.probePause(), s.leaseFor(&worker{counts: runCounts{latencySensitive: 1}})
 	}
 	if pause, lease := at(busyLink); pause != probeGap || lease != shortLease {
 		t.Errorf("pause %v, lease %v with the link half used", pause, lease)
@@ -84,7 +84,7 @@
 	w := mixedWorld(t, 2)
 	w.linkLoad = 1.2
 	w.run(100 * time.Millisecond)
-	w.submitTo(slowJob("s1", 2), "slow")
+	w.submitTo(deferrableJob("s1", 2), "slow")
 	w.run(500 * time.Millisecond)
 	if n := len(w.starts); n != 0 {
 		t.Errorf("%d tasks are started over a full link, want 0", n)
--- a/region/pass.go
+++ b/region/pass.go
@@ -36,9 +36,9 @@
 	s.usableNow = s.usableNow[:0]
 	before := s.overdueBefore()
 	for _, w := range s.workerList {
-		w.overdue = w.pendingOrders.overdue(before)
+		w.overdue = w.pendingCalls.overdue(before)
 		w.claimed = model.Resources{}
-		w.wasReserved, w.reserved, w.kept = cmp.Or(w.reserved, w.kept), nil, nil
+		w.wasReserved, w.reserved, w.softReserved = cmp.Or(w.reserved, w.softReserved), nil, nil
 		if s.usable(w) {
 			s.usableNow = append(s.usableNow, w)
 		}
@@ -49,9 +49,9 @@
 	}
 }
 
-// freeBounds holds upper bounds of the room on any one worker. A step that asks for more
-// fits on no worker, and no worker need be checked; under load that settles most
-// waiting steps. Assignments leave the bounds too high until they are computed again,
+// freeBounds holds upper bounds of the free resources of any one worker. A step that
+// requests more fits on no worker, and no worker need be checked; under load that is so
+// for most waiting steps. Assignments leave the bounds too high until they are computed again,
 // which costs no more than a full check of a step.
 type freeBounds struct {
 	valid     bool
@@ -77,11 +77,11 @@
 	}
 	switch {
 	case st.rec.Gang || s.ignoresReservations(st):
-		return !st.room().Fits(of.any)
+		return !st.demand().Fits(of.any)
 	case s.classOf(st) <= classOverShare:
-		return !st.room().Fits(of.notFirmlyReserved)
+		return !st.demand().Fits(of.notFirmlyReserved)
 	}
-	return !st.room().Fits(of.unreserved)
+	return !st.demand().Fits(of.unreserved)
 }
 
 func (s *Scheduler) computeFreeBounds() {
@@ -100,7 +100,7 @@
 		if w.reserved == nil {
 			of.notFirmlyReserved = elementwiseMax(of.notFirmlyReserved, free)
 		}
-		if w.reserved == nil && w.kept == nil {
+		if w.reserved == nil && w.softReserved == nil {
 			of.unreserved = elementwiseMax(of.unreserved, free)
 		}
 	}
@@ -164,11 +164,11 @@
 	var out [numClasses][]*step
 	keep := s.ready.steps[:0]
 	for _, st := range s.ready.steps {
-		if st.job.over() || !st.anyWaiting() {
+		if st.job.ended() || !st.anyWaiting() {
 			st.queued = false
 			continue
 		}
-		st.pressing = s.pressing(st)
+		st.latencySensitive = s.latencySensitive(st)
 		keep = append(keep, st)
 		c := s.classOf(st)
 		out[c] = append(out[c], st)
--- a/region/place.go
+++ b/region/place.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// reason tells why a worker cannot take a task now.
+// reason is why a worker cannot take a task now.
 type reason int
 
 const (
@@ -120,7 +120,7 @@
 		return rejectService
 	case !s.usable(w):
 		return rejectState
-	case !st.room().Fits(w.free()):
+	case !st.demand().Fits(w.free()):
 		return rejectRoom
 	case st.rec.Requires != "" && !w.entry.HasLabel(st.rec.Requires):
 		return rejectLabel
@@ -150,7 +150,7 @@
 	if w.reserved != nil && w.reserved != st && !s.ignoresReservations(st) {
 		return false
 	}
-	return w.kept == nil || w.kept == st || s.classOf(st) <= classOverShare
+	return w.softReserved == nil || w.softReserved == st || s.classOf(st) <= classOverShare
 }
 
 // usable reports whether the worker may get new work at all.
@@ -171,8 +171,8 @@
 }
 
 // interferesWith reports whether the step and the runs on the worker would interfere.
-// Tasks that fill (best-effort tasks on leftover processors) slow down tasks that serve
-// users under a latency target, by amounts that nobody declares.
+// Tasks with Fills (best-effort tasks on idle processors) slow down tasks that serve users
+// under a latency target, by an amount that is not declared.
 func (st *step) interferesWith(w *worker) bool {
 	if !st.rec.Fills && st.rec.TargetMs == 0 {
 		return false
@@ -206,7 +206,7 @@
 )
 
 // score ranks workers that fit. It is best fit: the worker that is left with the least
-// free processors comes first, which keeps large holes for large tasks.
+// free processors comes first, which leaves more room for large tasks on other workers.
 func (s *Scheduler) score(st *step, w *worker) float64 {
 	score := -float64(w.free().MilliCPU - st.request.MilliCPU)
 	if st.rec.Affinity != "" && w.entry.HasLabel(st.rec.Affinity) {
@@ -222,10 +222,10 @@
 // others, in thousandths of a core left free.
 const speedWeight = 2e4
 
-// speedScore prefers fast workers for pressing work, which then still ends in time, and
-// slow workers for all other work, which leaves the fast ones free.
+// speedScore prefers fast workers for latency-sensitive work, which then still ends in
+// time, and slow workers for all other work, which leaves the fast ones free.
 func (st *step) speedScore(w *worker) float64 {
-	if st.pressing {
+	if st.latencySensitive {
 		return speedWeight * w.speed.logRatio
 	}
 	return -speedWeight * w.speed.logRatio
--- a/region/probe.go
+++ b/region/probe.go
@@ -43,47 +43,47 @@
 	maxEndsListed = 500
 )
 
-// probe sends a Hold call, which renews the worker's leases and reads which runs are
-// running and which have ended. One probe at a time is in flight for a worker, so that
-// answers arrive in order.
+// probe sends a probe, which renews the worker's leases and reads which runs are running
+// and which have ended. One probe at a time is in flight for a worker, so that answers
+// arrive in order.
 func (s *Scheduler) probe(w *worker, after time.Duration) {
 	if w.probing || !s.leading() || w.entry.Address == "" {
 		return
 	}
-	order := model.HoldRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
+	request := model.ProbeRequest{Worker: w.ref(), Fence: s.fenceOf(w)}
 	// After an unanswered probe, leases are not extended until the worker answers. Each
 	// renewal may be executed late, so that the runs of a worker that does not come back
 	// could never be declared lost. Such a probe renews and acknowledges nothing and only
-	// checks the connection.
+	// shows whether the worker answers.
 	if w.fenced && !w.probeMissed {
-		order.AckedUpTo = w.acked
-		order.Wait = probeWait
+		request.AckedUpTo = w.acked
+		request.Wait = probeWait
 		if len(w.runs) > 0 {
-			order.Wait = min(probeWait, s.leaseFor(w)/probesPerLease)
+			request.Wait = min(probeWait, s.leaseFor(w)/probesPerLease)
 		}
 		if s.now < w.lossyUntil {
-			order.Wait = lossyWait
+			request.Wait = lossyWait
 		}
-		order.UntilMs = s.grantLease(w)
+		request.UntilMs = s.grantLease(w)
 	}
 	w.probing = true
-	s.emit(Hold{Order: order, After: after})
+	s.emit(Probe{Request: request, After: after})
 }
 
-func (s *Scheduler) probeAnswered(ev Held) {
-	w, known := s.workers[ev.Order.Worker.ID]
+func (s *Scheduler) probeAnswered(ev ProbeAnswered) {
+	w, known := s.workers[ev.Request.Worker.ID]
 	if !known {
 		return
 	}
 	w.probing = false
-	if ev.Order.Worker.BornUnix != w.entry.BornUnix {
+	if ev.Request.Worker.BornUnix != w.entry.BornUnix {
 		s.probe(w, 0)
 		return
 	}
 	switch ev.Err {
 	case CallOK:
 	case CallFenced:
-		s.emit(Deposed{Worker: w.entry.ID})
+		s.emit(StepDown{Worker: w.entry.ID})
 		return
 	case CallOtherIncarnation:
 		s.otherIncarnation(w)
@@ -131,24 +131,24 @@
 	s.probe(w, after)
 }
 
-func (s *Scheduler) readProbe(w *worker, ev Held) {
-	w.clockMs, w.clockAt = ev.Hold.ClockMs, s.now
+func (s *Scheduler) readProbe(w *worker, ev ProbeAnswered) {
+	w.clockMs, w.clockAt = ev.Response.ClockMs, s.now
 	if !w.fenced {
 		w.fenced = true
 		// Leases granted by an earlier leader end within the longest lease from now.
-		w.leaseMs = max(w.leaseMs, ev.Hold.ClockMs+s.opts.MaxLease.Milliseconds())
+		w.leaseMs = max(w.leaseMs, ev.Response.ClockMs+s.opts.MaxLease.Milliseconds())
 		s.dirty = true
 	}
 	w.probedAt = max(w.probedAt, ev.SentAt)
-	for _, e := range ev.Hold.Ended {
+	for _, e := range ev.Response.Ended {
 		s.readEnd(w, e)
 	}
-	listed := make(map[model.TaskID]bool, len(ev.Hold.Running))
-	for _, row := range ev.Hold.Running {
+	listed := make(map[model.TaskID]bool, len(ev.Response.Running))
+	for _, row := range ev.Response.Running {
 		listed[row.Task] = true
 		s.readRunning(w, row)
 	}
-	if len(ev.Hold.Ended) < maxEndsListed {
+	if len(ev.Response.Ended) < maxEndsListed {
 		s.endUnlisted(w, listed, ev.SentAt)
 	}
 }
@@ -186,22 +186,22 @@
 	if r.phase == phaseInherited || r.phase == phaseSending {
 		s.confirm(r)
 	}
-	if t.done || t.step.job.over() {
+	if t.done || t.step.job.ended() {
 		s.stopRun(r, "job is over")
 	}
 }
 
-// stopStray stops a run that is not wanted: its start was executed late, or its job is
-// over.
+// stopStray stops a run that is not wanted: its start was executed late, or its job has
+// ended.
 func (s *Scheduler) stopStray(w *worker, id model.RunID) {
 	s.explain(id.Task.Job, "stray run stopped", Field{"worker", w.entry.ID}, Field{"run", id.Run}, Field{"step", id.Task.Step}, Field{"task", id.Task.Index})
-	s.emit(Stop{Order: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
+	s.emit(Stop{Request: model.StopRequest{RunID: id, Worker: w.ref(), Fence: s.fenceOf(w)}})
 }
 
 // endUnlisted ends the runs that the answer to a probe does not list, if the probe was sent
 // after they were settled. A member of a gang may be missing because the end of another
-// member counts for all of them. The gang starts again only when every member is over, and
-// that end is applied before its own member is.
+// member counts for all of them. The gang starts again only when every member has ended,
+// and the end of the other member is applied first.
 func (s *Scheduler) endUnlisted(w *worker, listed map[model.TaskID]bool, sentAt time.Duration) {
 	for _, r := range w.sortedRuns() {
 		if listed[r.task.id()] || !r.settledBefore(sentAt) {
--- a/region/run.go
+++ b/region/run.go
@@ -28,29 +28,29 @@
 	phaseRunning                // the worker has it
 	phaseStopping               // a stop call is in flight
 	phaseInherited              // an earlier leader assigned it
-	phaseLateStart              // over otherwise, but a start call may still be executed
+	phaseLateStart              // ended, unless a start call is still executed
 )
 
 // run is one run of a task that may be alive.
 type run struct {
-	task            *task
-	number          int32
-	worker          *worker
-	ref             model.WorkerRef // the worker, and its incarnation, that it was assigned to
-	phase           phase
-	room            model.Resources
-	pressing        bool // counted as pressing in its worker's runCounts
-	ticket          string
-	assigned        time.Duration
-	startedAt       time.Duration // when the worker was known to have it
-	endsAt          time.Duration // when it is expected to end
-	leaseUntil      int64         // end of the lease that its start grants, on the worker's clock
-	startUnanswered bool          // a start got no answer and may still be executed
-	settledAt       time.Duration // a probe sent later that does not list the run proves that it is over; 0 if not settled
-	startAttempts   int
-	calls           startCalls
-	percent         int
-	movedAt         time.Duration // when percent last changed
+	task             *task
+	number           int32
+	worker           *worker
+	ref              model.WorkerRef // the worker, and its incarnation, that it was assigned to
+	phase            phase
+	demand           model.Resources
+	latencySensitive bool // counted as latency-sensitive in its worker's runCounts
+	ticket           string
+	assigned         time.Duration
+	startedAt        time.Duration // when the worker was known to have it
+	endsAt           time.Duration // when it is expected to end
+	leaseUntil       int64         // end of the lease that its start grants, on the worker's clock
+	startUnanswered  bool          // a start got no answer and may still be executed
+	settledAt        time.Duration // a probe sent later that does not list the run proves that it has ended; 0 if not settled
+	startAttempts    int
+	calls            startCalls
+	percent          int
+	progressedAt     time.Duration // when percent last changed
 }
 
 // target returns the worker to which calls about the run are sent. The address is that of
@@ -59,8 +59,8 @@
 	return model.WorkerRef{ID: r.ref.ID, Address: r.worker.entry.Address, BornUnix: r.ref.BornUnix}
 }
 
-// settledBefore reports whether the run is over if a probe that was sent then does not
-// list it.
+// settledBefore reports whether a probe sent at sentAt that does not list the run proves
+// that it has ended.
 func (r *run) settledBefore(sentAt time.Duration) bool {
 	if r.phase == phaseInherited {
 		// The first probe has brought this leader's fencing token to the worker, which
@@ -83,9 +83,9 @@
 	return out
 }
 
-// room returns the resources that a task of the step reserves on a worker. A step with
+// demand returns the resources that a task of the step reserves on a worker. A step with
 // Fills reserves no CPU and uses what others leave idle.
-func (st *step) room() model.Resources {
+func (st *step) demand() model.Resources {
 	r := st.request
 	if st.rec.Fills {
 		r.MilliCPU = 0
@@ -96,18 +96,18 @@
 // occupy counts a run and its resources on its worker and in its workspace.
 func (s *Scheduler) occupy(r *run) {
 	t := r.task
-	r.room = t.step.room()
+	r.demand = t.step.demand()
 	t.run = r
 	r.worker.runs = append(r.worker.runs, r)
-	r.pressing = s.pressing(t.step)
-	r.worker.counts.add(r.pressing, 1)
+	r.latencySensitive = s.latencySensitive(t.step)
+	r.worker.counts.add(r.latencySensitive, 1)
 	r.endsAt = r.expectedEnd()
-	r.worker.used = r.worker.used.Add(r.room)
+	r.worker.used = r.worker.used.Add(r.demand)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Add(t.step.request)
 }
 
-// release reverses occupy for a run that is over.
+// release reverses occupy for a run that has ended.
 func (s *Scheduler) release(r *run) {
 	t := r.task
 	if t.run != r {
@@ -115,9 +115,9 @@
 	}
 	t.run = nil
 	r.worker.runs = slices.DeleteFunc(r.worker.runs, func(o *run) bool { return o == r })
-	r.worker.counts.add(r.pressing, -1)
-	delete(r.worker.pendingOrders, r.id())
-	r.worker.used = r.worker.used.Sub(r.room)
+	r.worker.counts.add(r.latencySensitive, -1)
+	delete(r.worker.pendingCalls, r.id())
+	r.worker.used = r.worker.used.Sub(r.demand)
 	ws := t.step.job.rec.Workspace
 	s.used[ws] = s.used[ws].Sub(t.step.request)
 	s.dirty = true
@@ -145,7 +145,7 @@
 
 // sendStart sends the start of a run. A retry grants the lease of the first attempt: on a
 // worker that does not answer, each longer lease would defer the time at which the run is
-// known to be over.
+// known to have ended.
 func (s *Scheduler) sendStart(r *run, after time.Duration) {
 	if r.task.run != r || (r.phase != phaseLogging && r.phase != phaseSending) {
 		return
@@ -166,8 +166,8 @@
 	r.phase = phaseSending
 	r.startAttempts++
 	r.calls.sent(s.now + after)
-	r.worker.pendingOrders.sent(r.id(), s.now+after)
-	s.emit(Start{After: after, Order: model.StartRequest{
+	r.worker.pendingCalls.sent(r.id(), s.now+after)
+	s.emit(Start{After: after, Request: model.StartRequest{
 		RunID:  r.id(),
 		Worker: r.target(), Spec: r.task.step.job.rec.Spec, Checkpoint: r.task.checkpoint,
 		Ticket: r.ticket, UntilMs: r.leaseUntil, Fence: s.fenceOf(r.worker),
@@ -185,13 +185,13 @@
 }
 
 func (s *Scheduler) startAnswered(ev StartAnswered) {
-	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
+	s.callAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil {
 		return
 	}
-	if ev.Err == CallFenced && ev.Order.Fence == s.fenceOf(r.worker) {
-		s.emit(Deposed{Worker: r.ref.ID})
+	if ev.Err == CallFenced && ev.Request.Fence == s.fenceOf(r.worker) {
+		s.emit(StepDown{Worker: r.ref.ID})
 		return
 	}
 	if r.phase == phaseLateStart && ev.Err == CallOK {
@@ -248,7 +248,7 @@
 	r.phase = phaseRunning
 	r.startedAt = s.now
 	r.endsAt = r.expectedEnd()
-	r.movedAt = s.now
+	r.progressedAt = s.now
 	if r.settledAt == 0 {
 		r.settledAt = s.now
 	}
@@ -290,15 +290,15 @@
 }
 
 func (s *Scheduler) sendStop(r *run, after time.Duration) {
-	r.worker.pendingOrders.sent(r.id(), s.now+after)
-	s.emit(Stop{After: after, Order: model.StopRequest{
+	r.worker.pendingCalls.sent(r.id(), s.now+after)
+	s.emit(Stop{After: after, Request: model.StopRequest{
 		RunID: r.id(), Worker: r.target(), Fence: s.fenceOf(r.worker),
 	}})
 }
 
 func (s *Scheduler) stopAnswered(ev StopAnswered) {
-	s.orderAnswered(ev.Order.Worker, ev.Order.RunID, ev.Err)
-	r := s.currentRun(ev.Order.RunID, ev.Order.Worker)
+	s.callAnswered(ev.Request.Worker, ev.Request.RunID, ev.Err)
+	r := s.currentRun(ev.Request.RunID, ev.Request.Worker)
 	if r == nil || r.phase != phaseStopping {
 		return
 	}
@@ -306,7 +306,7 @@
 	case CallOK, CallOldRun:
 		r.settledAt = s.now
 	case CallFenced:
-		s.emit(Deposed{Worker: r.ref.ID})
+		s.emit(StepDown{Worker: r.ref.ID})
 	case CallOtherIncarnation:
 		s.otherIncarnation(r.worker)
 	default:
--- a/region/speed.go
+++ b/region/speed.go
@@ -8,7 +8,7 @@
 
 // speed estimates how fast a worker is relative to the others, as the natural logarithm
 // of the ratio. Workers of one size and label may differ by half. A gang ends with its
-// slowest member, and the room of faster members is held idle meanwhile; urgent work on
+// slowest member, and the resources of faster members are idle meanwhile; urgent work on
 // a slow worker is late from its start.
 type speed struct {
 	logRatio float64
@@ -77,8 +77,8 @@
 	}
 	var runs []runSpeed
 	for _, t := range st.tasks {
-		if r := t.run; r != nil && r.number == number && r.percent >= minGangPercent && r.movedAt > began {
-			runs = append(runs, runSpeed{r.worker, math.Log(float64(r.percent) / (r.movedAt - began).Seconds())})
+		if r := t.run; r != nil && r.number == number && r.percent >= minGangPercent && r.progressedAt > began {
+			runs = append(runs, runSpeed{r.worker, math.Log(float64(r.percent) / (r.progressedAt - began).Seconds())})
 		}
 	}
 	learnSpeeds(runs, gangSampleWeight)
--- a/region/takeover_test.go
+++ b/region/takeover_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a gang of two that waits forever in an empty region. The leader was
-// killed after the assignment was recorded and before the starts were sent. The next
+// stopped after the assignment was recorded and before the starts were sent. The next
 // leader finds that one member never started and stops the other before it has read the
 // worker's address from the host list: it must not send that stop to no address forever.
 func TestInheritedIncompleteGangIsRestarted(t *testing.T) {
@@ -94,9 +94,9 @@
 	w.mustComplete("a")
 }
 
-// The leader does not reach the log for longer than a successor waits. It must stop
-// renewing leases: on a worker that the successor cannot reach, renewals would keep a task
-// alive that the successor starts again on another worker.
+// The leader does not reach the log for longer than a new leader waits. It must stop
+// renewing leases: on a worker that the new leader cannot reach, renewals would keep a task
+// alive that the new leader starts again on another worker.
 func TestNoLeaseRenewalWithoutProofOfLeadership(t *testing.T) {
 	w := newWorld(t, 1)
 	w.addWorker("w1", 1)
--- a/region/worker.go
+++ b/region/worker.go
@@ -37,13 +37,13 @@
 	lastEnd        int64           // highest number of an end that was applied
 	acked          int64           // highest number of an end whose record is in the log
 	pausedUntil    time.Duration   // no new work before this time
-	pendingOrders  pendingOrders   // start and stop calls without an answer
+	pendingCalls   pendingCalls    // start and stop calls without an answer
 	overdue        bool            // one of them is overdue, as of the newest pass
 	health         health
 	speed          speed
-	reserved       *step           // gang for which room is reserved here
-	kept           *step           // further gang for which room is reserved here against late work only
-	wasReserved    *step           // reserved or kept in the previous pass
+	reserved       *step           // gang that reserves room here
+	softReserved   *step           // further gang that reserves room here against late work only
+	wasReserved    *step           // reserved or softReserved in the previous pass
 	claimed        model.Resources // room for which steps request tickets in this pass
 }
 
@@ -72,7 +72,7 @@
 func (s *Scheduler) workerNamed(id string) *worker {
 	w, known := s.workers[id]
 	if !known {
-		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), pendingOrders: make(pendingOrders), incarnations: s.departed.incarnations(id)}
+		w = &worker{entry: model.WorkerEntry{ID: id}, slot: s.slots.alloc(), pendingCalls: make(pendingCalls), incarnations: s.departed.incarnations(id)}
 		s.workers[id] = w
 		s.workerList = append(s.workerList, w)
 		if s.leading() {
@@ -95,7 +95,7 @@
 }
 
 func (s *Scheduler) workerListed(e model.WorkerEntry) {
-	s.endPredecessorAt(e)
+	s.endEarlierWorkerAt(e)
 	w := s.workerNamed(e.ID)
 	if w.outdated(e) {
 		s.explain("", "entry of an earlier life passed over", Field{"worker", e.ID}, Field{"born", e.BornUnix}, Field{"known", w.entry.BornUnix})
@@ -124,7 +124,7 @@
 // The guard is against a worker's write that is executed after its next incarnation has
 // written its own entry. If it were applied as a new incarnation, live runs would be ended
 // and their tasks would run twice. If the worker's time of day was set back instead, a
-// probe finds that the known incarnation is over, or its leases end, and the entry is
+// probe finds that the known incarnation has ended, or its leases expire, and the entry is
 // accepted when it is read again.
 func (w *worker) outdated(e model.WorkerEntry) bool {
 	if e.BornUnix < w.entry.BornUnix && w.fenced && !w.probeMissed {
@@ -133,9 +133,9 @@
 	return slices.ContainsFunc(w.runs, func(r *run) bool { return r.ref.BornUnix > e.BornUnix })
 }
 
-// endPredecessorAt ends the runs of a worker that had the entry's address before: the new
+// endEarlierWorkerAt ends the runs of a worker that had the entry's address before: the new
 // process has no runs of the old one, whatever its id.
-func (s *Scheduler) endPredecessorAt(e model.WorkerEntry) {
+func (s *Scheduler) endEarlierWorkerAt(e model.WorkerEntry) {
 	for _, w := range s.workerList {
 		if w.entry.Address != e.Address || w.entry.ID == e.ID || w.entry.BornUnix >= e.BornUnix {
 			continue
@@ -210,8 +210,8 @@
 	// congestedFor is how long after the leader's link was full answers may be late
 	// because of it.
 	congestedFor = time.Second
-	// maxExpiryDelay bounds for how long after the end of a lease its runs are kept because
-	// the link was full.
+	// maxExpiryDelay bounds how long after the end of a lease its runs are not yet counted
+	// as lost because the link was full.
 	maxExpiryDelay = 3 * time.Second
 )
 
@@ -220,13 +220,13 @@
 //
 // The guard is against a task that runs again after it was done: the worker has listed the
 // end, but the answer is queued in the link behind the leader's other traffic until the
-// lease is over. The guard lasts for as long as answers usually wait there, and has no
+// lease has expired. The guard lasts for as long as answers usually wait there, and has no
 // effect while the link is not full.
 func (s *Scheduler) delayedByLink(w *worker) bool {
 	return s.fullAt > 0 && s.now-s.fullAt < congestedFor && s.now < w.lapsesAt()+maxExpiryDelay
 }
 
-// expireRuns ends the runs on workers whose leases are over even with the largest clock
+// expireRuns ends the runs on workers whose leases have expired even with the largest clock
 // drift, and removes workers that have left and have no runs.
 func (s *Scheduler) expireRuns() {
 	for i := len(s.workerList) - 1; i >= 0; i-- {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -41,8 +41,8 @@
 	runTime      func(id model.TaskID) time.Duration
 	fails        func(id model.TaskID, run int32) bool
 	issuesTicket func(step, worker string) bool  // the advice service issues a ticket
-	losesAnswer  func(call string) bool          // the call is carried out, but its answer is lost
-	callDelay    func(call string) time.Duration // extra delay until the call is carried out
+	losesAnswer  func(call string) bool          // the call is executed, but its answer is lost
+	callDelay    func(call string) time.Duration // extra delay until the call is executed
 	starts       map[model.TaskID]int
 	doneRuns     map[model.TaskID]int32
 	failures     map[model.TaskID]int
@@ -109,7 +109,7 @@
 
 func testOptions() Options {
 	return Options{
-		MaxLease: testLease, Lease: testLease, LogRetention: 300 * time.Second, StatusKept: 120 * time.Second,
+		MaxLease: testLease, Lease: testLease, LogRetention: 300 * time.Second, StatusRetention: 120 * time.Second,
 	}
 }
 
@@ -169,7 +169,7 @@
 	w.step(EntriesRead{Entries: w.entries})
 	w.step(Lead{Fence: w.fence})
 	w.step(ConfigRead{Config: w.config()})
-	w.step(HostsSeen{Hosts: []string{"", "h2", "h3"}})
+	w.step(AdviceHostsChanged{Hosts: []string{"", "h2", "h3"}})
 	for _, id := range w.names {
 		w.deliverListing(w.workers[id])
 	}
@@ -225,7 +225,7 @@
 
 func (w *world) step(ev Event) {
 	generation := w.generation
-	for _, c := range append([]Command(nil), w.sched.Step(w.now, ev)...) {
+	for _, c := range append([]Command(nil), w.sched.Handle(w.now, ev)...) {
 		w.execute(generation, c)
 	}
 }
@@ -247,18 +247,18 @@
 	case Publish:
 		w.states[c.Job] = c.State
 	case Start:
-		w.checkNotCancelled(c.Order)
-		w.call(generation, "start", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Order) },
-			func(e CallError) Event { return StartAnswered{Order: c.Order, Err: e} })
+		w.checkNotCancelled(c.Request)
+		w.call(generation, "start", c.After, c.Request.Worker, func(fw *fakeWorker) CallError { return w.start(fw, c.Request) },
+			func(e CallError) Event { return StartAnswered{Request: c.Request, Err: e} })
 	case Stop:
-		w.call(generation, "stop", c.After, c.Order.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Order) },
-			func(e CallError) Event { return StopAnswered{Order: c.Order, Err: e} })
-	case Hold:
-		w.hold(generation, c)
+		w.call(generation, "stop", c.After, c.Request.Worker, func(fw *fakeWorker) CallError { return w.stop(fw, c.Request) },
+			func(e CallError) Event { return StopAnswered{Request: c.Request, Err: e} })
+	case Probe:
+		w.probe(generation, c)
 	case Advise:
 		w.advise(generation, c)
 	case Explain:
-		w.explanations = append(w.explanations, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.What, " ", c.Fields))
+		w.explanations = append(w.explanations, fmt.Sprint((w.now-time.Hour).Milliseconds(), " ", c.Job, " ", c.Message, " ", c.Fields))
 	}
 }
 
@@ -341,7 +341,7 @@
 		took, answered = w.advice.advise(c)
 	}
 	w.answer(generation, took, func() Event {
-		ev := Advised{Order: c, At: w.now, Failed: !answered}
+		ev := AdviceAnswered{Request: c, At: w.now, Failed: !answered}
 		if ev.Failed {
 			return ev
 		}
--- a/region/worldworker_test.go
+++ b/region/worldworker_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// finish ends a run whose run time is over, as done or failed.
+// finish ends a run, as done or failed, at the end of its run time.
 func (w *world) finish(fw *fakeWorker, id model.TaskID) {
 	number := fw.runs[id].number
 	if w.fails(id, number) {
@@ -229,23 +229,23 @@
 	}
 }
 
-func (w *world) hold(generation int, c Hold) {
+func (w *world) probe(generation int, c Probe) {
 	sent := w.now + c.After
-	var got model.HoldResponse
-	w.call(generation, "hold", c.After, c.Order.Worker, func(fw *fakeWorker) CallError {
-		if c.Order.Fence < fw.fence {
+	var got model.ProbeResponse
+	w.call(generation, "hold", c.After, c.Request.Worker, func(fw *fakeWorker) CallError {
+		if c.Request.Fence < fw.fence {
 			return CallFenced
 		}
-		fw.fence = c.Order.Fence
+		fw.fence = c.Request.Fence
 		w.expireLease(fw)
-		if c.Order.UntilMs > 0 {
-			fw.until = max(fw.until, min(c.Order.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
+		if c.Request.UntilMs > 0 {
+			fw.until = max(fw.until, min(c.Request.UntilMs, fw.clock(w.now)+testLease.Milliseconds()))
 		}
-		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Order.AckedUpTo {
+		for len(fw.ends) > 0 && fw.ends[0].Number <= c.Request.AckedUpTo {
 			fw.ends = fw.ends[1:]
 			fw.voidEnds = max(0, fw.voidEnds-1)
 		}
-		got = model.HoldResponse{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
+		got = model.ProbeResponse{ClockMs: fw.clock(w.now), BornUnix: fw.entry.BornUnix, Ended: append([]model.End(nil), fw.ends...)}
 		for id, r := range fw.runs {
 			got.Running = append(got.Running, model.Running{
 				RunID: model.RunID{Task: id, Run: r.number}, Checkpoint: w.save(id, r), Percent: fw.percent(w.now, r),
@@ -253,5 +253,5 @@
 		}
 		sort.Slice(got.Running, func(i, j int) bool { return fmt.Sprint(got.Running[i].Task) < fmt.Sprint(got.Running[j].Task) })
 		return CallOK
-	}, func(e CallError) Event { return Held{Order: c.Order, SentAt: sent, Hold: got, Err: e} })
+	}, func(e CallError) Event { return ProbeAnswered{Request: c.Request, SentAt: sent, Response: got, Err: e} })
 }
