--- a/request/choice_test.go
+++ b/request/choice_test.go
@@ -14,13 +14,13 @@
 // The zone of the replay: few workers, as one entry host holds. A call takes
 // longer the more of its worker's slots are in use, and one worker is slow.
 const (
-	choiceWorkers  = 4
-	choiceSlots    = 8
-	choiceCalls    = 40_000
-	choiceMean     = 40 * time.Millisecond // of a call alone on its worker
-	choiceDeadline = 30 * time.Second
-	choiceCrowding = 0.08 // longer by this part for each other call on the worker
-	choiceSlow     = 2    // times longer on the first worker
+	choiceWorkers         = 4
+	choiceSlots           = 8
+	choiceCalls           = 40_000
+	choiceMean            = 40 * time.Millisecond // of a call alone on its worker
+	choiceDeadline        = 30 * time.Second
+	choiceSlowdownPerCall = 0.08 // longer by this part for each other call on the worker
+	choiceSlowFactor      = 2    // times longer on the first worker
 )
 
 type callEnd struct {
@@ -48,7 +48,7 @@
 	ends     callEnds
 	arrived  map[ident.TaskID]time.Duration
 	inFlight map[ident.WorkerID]int
-	on       map[ident.TaskID]ident.WorkerID
+	workerOf map[ident.TaskID]ident.WorkerID
 	waits    []time.Duration // from arrival to dispatch
 	totals   []time.Duration // from arrival to the answer
 	rejected int
@@ -58,11 +58,11 @@
 
 func newChoiceReplay(seed uint64) *choiceReplay {
 	c := &choiceReplay{
-		router:   New(Options{Zone: "a", Limits: endless{}, Rand: rand.New(rand.NewPCG(seed, 1))}),
+		router:   New(Options{Zone: "a", Limits: unlimited{}, Rand: rand.New(rand.NewPCG(seed, 1))}),
 		rand:     rand.New(rand.NewPCG(seed, 2)),
 		arrived:  map[ident.TaskID]time.Duration{},
 		inFlight: map[ident.WorkerID]int{},
-		on:       map[ident.TaskID]ident.WorkerID{},
+		workerOf: map[ident.TaskID]ident.WorkerID{},
 	}
 	for i := range choiceWorkers {
 		c.step(0, WorkerReady{Worker: workerName(i), Services: []ident.ServiceID{"s"}, Slots: choiceSlots, Connections: choiceSlots})
@@ -70,23 +70,23 @@
 	return c
 }
 
-// endless grants every unit.
-type endless struct{}
+// unlimited grants every unit.
+type unlimited struct{}
 
-func (endless) TryUse(ident.TeamID, int64) bool { return true }
-func (endless) Done(ident.TeamID, int64)        {}
+func (unlimited) TryUse(ident.TeamID, int64) bool { return true }
+func (unlimited) Done(ident.TeamID, int64)        {}
 
 func (c *choiceReplay) step(now time.Duration, ev Event) {
 	for _, cmd := range c.router.Step(now, ev) {
 		switch cmd := cmd.(type) {
 		case Dispatch:
 			c.waits = append(c.waits, now-c.arrived[cmd.ID])
-			took := c.rand.ExpFloat64() * choiceMean.Seconds() * (1 + choiceCrowding*float64(c.inFlight[cmd.Worker]))
+			took := c.rand.ExpFloat64() * choiceMean.Seconds() * (1 + choiceSlowdownPerCall*float64(c.inFlight[cmd.Worker]))
 			if cmd.Worker == workerName(0) {
-				took *= choiceSlow
+				took *= choiceSlowFactor
 			}
 			c.inFlight[cmd.Worker]++
-			c.on[cmd.ID] = cmd.Worker
+			c.workerOf[cmd.ID] = cmd.Worker
 			heap.Push(&c.ends, callEnd{at: now + time.Duration(took*float64(time.Second)), id: cmd.ID})
 		case Reject:
 			c.rejected++
@@ -99,7 +99,7 @@
 	for len(c.ends) > 0 && c.ends[0].at <= at {
 		end := heap.Pop(&c.ends).(callEnd)
 		c.totals = append(c.totals, end.at-c.arrived[end.id])
-		c.inFlight[c.on[end.id]]--
+		c.inFlight[c.workerOf[end.id]]--
 		c.step(end.at, Finished{ID: end.id, Result: ResultAnswered})
 	}
 }
@@ -107,8 +107,8 @@
 // run replays arrivals at a part of the rate that the slots could serve if
 // every call was crowded by all others.
 func (c *choiceReplay) run(load float64) {
-	crowded := choiceMean.Seconds() * (1 + choiceCrowding*(choiceSlots-1))
-	rate := load * choiceSlots * (choiceWorkers - 1 + 1.0/choiceSlow) / crowded
+	crowded := choiceMean.Seconds() * (1 + choiceSlowdownPerCall*(choiceSlots-1))
+	rate := load * choiceSlots * (choiceWorkers - 1 + 1.0/choiceSlowFactor) / crowded
 	now := time.Duration(0)
 	for i := range choiceCalls {
 		now += time.Duration(c.rand.ExpFloat64() / rate * float64(time.Second))
@@ -126,7 +126,7 @@
 }
 
 // One call goes to each of the workers before any gets a second one.
-func TestCallsGoToTheLeastLoaded(t *testing.T) {
+func TestCallsGoToLeastLoadedWorker(t *testing.T) {
 	c := newChoiceReplay(7)
 	for i := range choiceWorkers {
 		c.step(0, Admitted{ID: ident.TaskID{Seq: uint64(i)}, Team: "t", Service: "s", Deadline: choiceDeadline})
--- a/request/peers.go
+++ b/request/peers.go
@@ -11,30 +11,30 @@
 // sent it since.
 type peer struct {
 	PeerSeen
-	at   time.Duration
-	sent int64
+	seenAt time.Duration
+	sent   int64
 }
 
-// spill chooses a peer with room for c: one of its own zone before others,
+// pickPeer chooses a peer with room for c: one of its own zone before others,
 // then the one with most room. It returns nil when nobody has room.
 //
-// The room a digest tells of is up to a second old, so several hosts may spill
+// The room a digest tells of is up to a second old, so several hosts may pickPeer
 // to one peer at once. What was sent since the digest is counted against it,
 // and a peer that still has no room refuses with "not run", which costs a hop
 // and never a run.
-func (r *Router) spill(now time.Duration, c *call) *peer {
-	if c.Pinned || c.Hops >= r.opts.MaxHops || len(c.refusers) >= r.opts.MaxTries {
+func (r *Router) pickPeer(now time.Duration, c *call) *peer {
+	if c.Pinned || c.Hops >= r.opts.MaxHops || len(c.refusedBy) >= r.opts.MaxTries {
 		return nil
 	}
 	var best *peer
 	for _, host := range sortedHosts(r.peers) {
 		p := r.peers[host]
-		if now-p.at > r.opts.PeerTTL || p.Draining || p.Free-p.sent <= 0 {
+		if now-p.seenAt > r.opts.PeerTTL || p.Draining || p.Free-p.sent <= 0 {
 			continue
 		}
 		// The host that minted the identifier has the call open already and
 		// could only call it a duplicate.
-		if host == c.ID.Host || slices.Contains(c.refusers, host) || !slices.Contains(p.Services, c.Service) {
+		if host == c.ID.Host || slices.Contains(c.refusedBy, host) || !slices.Contains(p.Services, c.Service) {
 			continue
 		}
 		if best == nil || r.preferred(p, best) {
--- a/request/queue.go
+++ b/request/queue.go
@@ -9,16 +9,16 @@
 // call is one request from admission to its end.
 type call struct {
 	Admitted
-	tries    int
-	at       time.Duration  // admission
-	sentAt   time.Duration  // last dispatch
-	worker   ident.WorkerID // of the dispatch in flight, if any
-	avoid    ident.WorkerID // worker of the last failed try
-	peer     ident.HostID   // of the forward in flight, if any
-	refusers []ident.HostID // peers that refused it
-	waiting  bool
-	units    bool // holds a unit of the team's limit
-	mayRun   bool // an earlier try was sent and got no answer
+	tries      int
+	admittedAt time.Duration  // admission
+	sentAt     time.Duration  // last dispatch
+	worker     ident.WorkerID // of the dispatch in flight, if any
+	avoid      ident.WorkerID // worker of the last failed try
+	peer       ident.HostID   // of the forward in flight, if any
+	refusedBy  []ident.HostID // peers that refused it
+	waiting    bool
+	holdsUnit  bool // holds a unit of the team's limit
+	mayHaveRun bool // an earlier try was sent and got no answer
 }
 
 // teamQueue holds the waiting calls of one team in order of admission.
@@ -49,9 +49,9 @@
 	q.waiting++
 }
 
-// leave marks c as no longer waiting. It is removed when it reaches the head,
+// dequeue marks c as no longer waiting. It is removed when it reaches the head,
 // so that a wave of cancellations costs one step each.
-func (q *teamQueue) leave(c *call) {
+func (q *teamQueue) dequeue(c *call) {
 	if !c.waiting {
 		return
 	}
@@ -59,8 +59,8 @@
 	q.waiting--
 }
 
-// pressure orders teams: the one with the least in flight for its weight goes
+// usagePerWeight orders teams: the one with the least in flight for its weight goes
 // first.
-func (q *teamQueue) pressure() float64 {
+func (q *teamQueue) usagePerWeight() float64 {
 	return float64(q.inFlight+1) / float64(max(q.weight, 1))
 }
--- a/request/router.go
+++ b/request/router.go
@@ -47,20 +47,20 @@
 // Router is the request path of one entry host. It is not safe for concurrent
 // use.
 type Router struct {
-	opts     Options
-	workers  []*worker // sorted by id
-	byID     map[ident.WorkerID]*worker
-	calls    map[ident.TaskID]*call
-	taken    *takenBook
-	teams    map[ident.TeamID]*teamQueue
-	order    []*teamQueue // sorted by team
-	peers    map[ident.HostID]*peer
-	budgets  map[ident.ServiceID]*budget
-	waiting  int
-	draining bool
-	service  float64 // moving average of service time in seconds
-	out      []Command
-	counters Counters
+	opts           Options
+	workers        []*worker // sorted by id
+	byID           map[ident.WorkerID]*worker
+	calls          map[ident.TaskID]*call
+	forwardedIDs   *idCache
+	teams          map[ident.TeamID]*teamQueue
+	sortedTeams    []*teamQueue // sorted by team
+	peers          map[ident.HostID]*peer
+	budgets        map[ident.ServiceID]*budget
+	waiting        int
+	draining       bool
+	avgServiceTime float64 // moving average of service time in seconds
+	commands       []Command
+	counters       Counters
 }
 
 // Counters count decisions since start.
@@ -87,21 +87,21 @@
 		opts.Remember = defaultRemember
 	}
 	return &Router{
-		taken:    newTakenBook(opts.Remember),
-		opts:     opts,
-		byID:     map[ident.WorkerID]*worker{},
-		calls:    map[ident.TaskID]*call{},
-		teams:    map[ident.TeamID]*teamQueue{},
-		peers:    map[ident.HostID]*peer{},
-		budgets:  map[ident.ServiceID]*budget{},
-		counters: Counters{Rejected: map[Cause]int64{}},
+		forwardedIDs: newIDCache(opts.Remember),
+		opts:         opts,
+		byID:         map[ident.WorkerID]*worker{},
+		calls:        map[ident.TaskID]*call{},
+		teams:        map[ident.TeamID]*teamQueue{},
+		peers:        map[ident.HostID]*peer{},
+		budgets:      map[ident.ServiceID]*budget{},
+		counters:     Counters{Rejected: map[Cause]int64{}},
 	}
 }
 
 // Step takes one event at now and returns the commands that follow from it.
 // The slice is valid until the next Step.
 func (r *Router) Step(now time.Duration, ev Event) []Command {
-	r.out = r.out[:0]
+	r.commands = r.commands[:0]
 	switch ev := ev.(type) {
 	case Admitted:
 		r.admit(now, ev)
@@ -118,7 +118,7 @@
 	case WorkerLeaving:
 		r.workerLeaving(ev)
 	case PeerSeen:
-		r.peers[ev.Host] = &peer{PeerSeen: ev, at: now}
+		r.peers[ev.Host] = &peer{PeerSeen: ev, seenAt: now}
 	case PeerGone:
 		delete(r.peers, ev.Host)
 	case TeamShare:
@@ -128,8 +128,8 @@
 	case Tick:
 		r.expire(now)
 	}
-	r.drain(now)
-	return r.out
+	r.startWaiting(now)
+	return r.commands
 }
 
 // Free returns the slots open for new requests on workers in good health, less
@@ -194,10 +194,10 @@
 	}
 	q := &teamQueue{team: id, weight: 1}
 	r.teams[id] = q
-	at := sort.Search(len(r.order), func(i int) bool { return r.order[i].team >= id })
-	r.order = append(r.order, nil)
-	copy(r.order[at+1:], r.order[at:])
-	r.order[at] = q
+	at := sort.Search(len(r.sortedTeams), func(i int) bool { return r.sortedTeams[i].team >= id })
+	r.sortedTeams = append(r.sortedTeams, nil)
+	copy(r.sortedTeams[at+1:], r.sortedTeams[at:])
+	r.sortedTeams[at] = q
 	return q
 }
 
@@ -210,33 +210,33 @@
 	return b
 }
 
-func (r *Router) emit(c Command) { r.out = append(r.out, c) }
+func (r *Router) emit(c Command) { r.commands = append(r.commands, c) }
 
 // reject ends a call with a cause and frees all it holds.
 func (r *Router) reject(c *call, cause Cause, after time.Duration) {
-	err := &RejectedError{Cause: cause, RetryAfter: after, MayHaveRun: c.mayRun}
+	err := &RejectedError{Cause: cause, RetryAfter: after, MayHaveRun: c.mayHaveRun}
 	r.counters.Rejected[cause]++
-	r.forget(c)
+	r.remove(c)
 	if err.Outcome() == work.OutcomeNotRun {
-		r.taken.refuse(c.ID)
+		r.forwardedIDs.markRefused(c.ID)
 	}
 	r.emit(Reject{ID: c.ID, Cause: err})
 }
 
-func (r *Router) forget(c *call) {
+func (r *Router) remove(c *call) {
 	if c.waiting {
 		r.waiting--
-		r.team(c.Team).leave(c)
+		r.team(c.Team).dequeue(c)
 	}
-	r.releaseUnits(c)
+	r.releaseUnit(c)
 	delete(r.calls, c.ID)
 }
 
-func (r *Router) releaseUnits(c *call) {
-	if !c.units {
+func (r *Router) releaseUnit(c *call) {
+	if !c.holdsUnit {
 		return
 	}
-	c.units = false
+	c.holdsUnit = false
 	r.team(c.Team).inFlight--
 	r.opts.Limits.Done(c.Team, UnitsOfRequest)
 }
--- a/request/router_test.go
+++ b/request/router_test.go
@@ -12,17 +12,17 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// countedLimits is a holder of a fixed number of units for every team.
-type countedLimits struct {
+// fixedLimits is a holder of a fixed number of units for every team.
+type fixedLimits struct {
 	limit int64
 	used  map[ident.TeamID]int64
 }
 
-func newLimits(limit int64) *countedLimits {
-	return &countedLimits{limit: limit, used: map[ident.TeamID]int64{}}
+func newLimits(limit int64) *fixedLimits {
+	return &fixedLimits{limit: limit, used: map[ident.TeamID]int64{}}
 }
 
-func (l *countedLimits) TryUse(team ident.TeamID, units int64) bool {
+func (l *fixedLimits) TryUse(team ident.TeamID, units int64) bool {
 	if l.used[team]+units > l.limit {
 		return false
 	}
@@ -30,7 +30,7 @@
 	return true
 }
 
-func (l *countedLimits) Done(team ident.TeamID, units int64) { l.used[team] -= units }
+func (l *fixedLimits) Done(team ident.TeamID, units int64) { l.used[team] -= units }
 
 const testService ident.ServiceID = "grants"
 
@@ -51,12 +51,12 @@
 	return ident.TaskID{Zone: "a", Host: "h", Incarnation: 1, Seq: uint64(n)}
 }
 
-func admitted(n int, team ident.TeamID, once bool) Admitted {
-	return Admitted{ID: taskID(n), Team: team, Service: testService, Deadline: time.Minute, NonIdempotent: once}
+func admitted(n int, team ident.TeamID, nonIdempotent bool) Admitted {
+	return Admitted{ID: taskID(n), Team: team, Service: testService, Deadline: time.Minute, NonIdempotent: nonIdempotent}
 }
 
-// only returns the single command of type C, or fails the test.
-func only[C Command](t *testing.T, cmds []Command) C {
+// onlyCommand returns the single command of type C, or fails the test.
+func onlyCommand[C Command](t *testing.T, cmds []Command) C {
 	t.Helper()
 	var found []C
 	for _, cmd := range cmds {
@@ -73,11 +73,11 @@
 // An approval is sent to a worker and the connection breaks before an answer.
 // The approval may have taken effect, so it must not be sent to another worker,
 // and its caller must not read "not run" and repeat it.
-func TestNonIdempotentIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	r := newRouter(newLimits(10), 4, Options{})
-	only[Dispatch](t, r.Step(0, admitted(1, "t", true)))
+	onlyCommand[Dispatch](t, r.Step(0, admitted(1, "t", true)))
 	cmds := r.Step(time.Second, Finished{ID: taskID(1), Result: ResultUncertain})
-	if reject := only[Reject](t, cmds); reject.Cause.Outcome() != work.OutcomeUnknown {
+	if reject := onlyCommand[Reject](t, cmds); reject.Cause.Outcome() != work.OutcomeUnknown {
 		t.Errorf("outcome %v, want unknown", reject.Cause.Outcome())
 	}
 }
@@ -85,13 +85,13 @@
 // A forwarded approval is doubled on its way. The first copy runs to its end;
 // the second arrives later, when no call of that name is in flight, and must
 // not run again.
-func TestDoubledForwardRunsOnce(t *testing.T) {
+func TestDuplicateForwardRunsOnce(t *testing.T) {
 	r := newRouter(newLimits(10), 4, Options{})
 	ev := admitted(1, "t", true)
 	ev.Hops = 1
-	only[Dispatch](t, r.Step(0, ev))
-	only[Complete](t, r.Step(time.Second, Finished{ID: ev.ID, Result: ResultAnswered}))
-	reject := only[Reject](t, r.Step(2*time.Second, ev))
+	onlyCommand[Dispatch](t, r.Step(0, ev))
+	onlyCommand[Complete](t, r.Step(time.Second, Finished{ID: ev.ID, Result: ResultAnswered}))
+	reject := onlyCommand[Reject](t, r.Step(2*time.Second, ev))
 	if reject.Cause.Outcome() != work.OutcomeUnknown {
 		t.Errorf("outcome %v, want unknown", reject.Cause.Outcome())
 	}
@@ -106,10 +106,10 @@
 	ev.Hops = 2
 	ev.Deadline = time.Second
 	r.Step(0, ev)
-	only[Reject](t, r.Step(2*time.Second, Tick{}))
+	onlyCommand[Reject](t, r.Step(2*time.Second, Tick{}))
 	r.Step(2*time.Second, WorkerReady{Worker: workerID(0), Services: []ident.ServiceID{testService}, Slots: 2, Connections: 8})
 	ev.Deadline = time.Minute
-	reject := only[Reject](t, r.Step(3*time.Second, ev))
+	reject := onlyCommand[Reject](t, r.Step(3*time.Second, ev))
 	if reject.Cause.Outcome() != work.OutcomeNotRun {
 		t.Errorf("outcome %v, want not run", reject.Cause.Outcome())
 	}
@@ -118,14 +118,14 @@
 // An idempotent request is lost on its first worker, is to be tried again, and
 // finds too many waiting. Its caller is refused for want of room, but must not
 // be told that it did not run: the first try may have.
-func TestLostThenRefusedIsUnknown(t *testing.T) {
+func TestRefusalAfterLostTryIsUnknown(t *testing.T) {
 	r := newRouter(newLimits(100), 1, Options{MaxWaiting: 1})
-	only[Dispatch](t, r.Step(0, admitted(1, "t", false)))
-	only[Dispatch](t, r.Step(0, admitted(2, "t", false)))
+	onlyCommand[Dispatch](t, r.Step(0, admitted(1, "t", false)))
+	onlyCommand[Dispatch](t, r.Step(0, admitted(2, "t", false)))
 	r.Step(0, admitted(3, "t", false)) // waits, and fills the queue
 	r.Step(0, WorkerLeaving{Worker: workerID(0), Leaving: true})
 	cmds := r.Step(time.Second, Finished{ID: taskID(1), Result: ResultUncertain})
-	reject := only[Reject](t, cmds)
+	reject := onlyCommand[Reject](t, cmds)
 	if reject.Cause.Cause != CauseOverload || reject.Cause.Outcome() != work.OutcomeUnknown {
 		t.Errorf("rejected as %s, %v; want overload with outcome unknown", reject.Cause.Cause, reject.Cause.Outcome())
 	}
@@ -140,7 +140,7 @@
 	sent := map[ident.WorkerID]int{}
 	run := func(n int, failing bool) {
 		now += 10 * time.Millisecond
-		d := only[Dispatch](t, r.Step(now, admitted(n, "t", false)))
+		d := onlyCommand[Dispatch](t, r.Step(now, admitted(n, "t", false)))
 		sent[d.Worker]++
 		now += time.Millisecond
 		r.Step(now, Finished{ID: d.ID, Result: ResultAnswered, ServerFail: failing && d.Worker == workerID(0)})
@@ -166,7 +166,7 @@
 
 // One team floods a host, another sends a little. The flood is refused at its
 // own part of the queue, and every request of the other team is taken.
-func TestFloodKeepsOthersRoom(t *testing.T) {
+func TestFloodLeavesQueueShareOfOtherTeams(t *testing.T) {
 	r := newRouter(newLimits(100), 1, Options{MaxWaiting: 20})
 	refused := map[ident.TeamID]int{}
 	id := 0
@@ -219,10 +219,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limits := newLimits(int64(rapid.IntRange(1, 6).Draw(t, "limit")))
 		m := &model{
-			t:      t,
-			r:      newRouter(limits, 3, Options{MaxWaiting: 6}),
-			calls:  map[ident.TaskID]*modelCall{},
-			onWork: map[ident.WorkerID]int{},
+			t:          t,
+			r:          newRouter(limits, 3, Options{MaxWaiting: 6}),
+			calls:      map[ident.TaskID]*modelCall{},
+			inFlightOn: map[ident.WorkerID]int{},
 		}
 		steps := rapid.IntRange(1, 200).Draw(t, "steps")
 		for range steps {
@@ -239,21 +239,21 @@
 
 // model follows a router and checks its commands.
 type model struct {
-	t      *rapid.T
-	r      *Router
-	now    time.Duration
-	next   int
-	calls  map[ident.TaskID]*modelCall
-	order  []ident.TaskID
-	onWork map[ident.WorkerID]int
+	t          *rapid.T
+	r          *Router
+	now        time.Duration
+	next       int
+	calls      map[ident.TaskID]*modelCall
+	order      []ident.TaskID
+	inFlightOn map[ident.WorkerID]int
 }
 
 type modelCall struct {
-	once     bool
-	maybeRan bool
-	worker   ident.WorkerID // in flight there
-	flying   bool           // in flight there or at a peer
-	ended    bool
+	nonIdempotent bool
+	maybeRan      bool
+	worker        ident.WorkerID // in flight there
+	inFlight      bool           // in flight there or at a peer
+	ended         bool
 }
 
 func (m *model) step() {
@@ -279,7 +279,7 @@
 	team := ident.TeamID(rapid.SampledFrom([]string{"x", "y"}).Draw(m.t, "team"))
 	ev := admitted(m.next, team, rapid.Bool().Draw(m.t, "once"))
 	ev.Deadline = m.now + time.Duration(rapid.IntRange(1, 2000).Draw(m.t, "deadline"))*time.Millisecond
-	m.calls[ev.ID] = &modelCall{once: ev.NonIdempotent}
+	m.calls[ev.ID] = &modelCall{nonIdempotent: ev.NonIdempotent}
 	m.order = append(m.order, ev.ID)
 	m.apply(m.r.Step(m.now, ev))
 }
@@ -287,7 +287,7 @@
 // finishOne ends the oldest call in flight with a random result.
 func (m *model) finishOne() {
 	for _, id := range m.order {
-		if c := m.calls[id]; c.flying {
+		if c := m.calls[id]; c.inFlight {
 			result := Result(rapid.IntRange(int(ResultAnswered), int(ResultAbandoned)).Draw(m.t, "result"))
 			m.finish(id, c, result)
 			return
@@ -297,9 +297,9 @@
 
 func (m *model) finish(id ident.TaskID, c *modelCall, result Result) {
 	if c.worker != "" {
-		m.onWork[c.worker]--
+		m.inFlightOn[c.worker]--
 	}
-	c.flying = false
+	c.inFlight = false
 	c.worker = ""
 	c.maybeRan = c.maybeRan || result != ResultNotRun
 	m.apply(m.r.Step(m.now, Finished{ID: id, Result: result}))
@@ -326,26 +326,26 @@
 
 func (m *model) send(id ident.TaskID, worker ident.WorkerID) {
 	c := m.calls[id]
-	if c.ended || c.flying {
+	if c.ended || c.inFlight {
 		m.t.Fatalf("%v sent while in flight or after its end", id)
 	}
-	if c.once && c.maybeRan {
+	if c.nonIdempotent && c.maybeRan {
 		m.t.Fatalf("%v must not run twice and is sent again", id)
 	}
-	c.flying = true
+	c.inFlight = true
 	c.worker = worker
 	if worker == "" {
 		return
 	}
-	m.onWork[worker]++
-	if m.onWork[worker] > 2 {
-		m.t.Fatalf("worker %s has %d calls on 2 slots", worker, m.onWork[worker])
+	m.inFlightOn[worker]++
+	if m.inFlightOn[worker] > 2 {
+		m.t.Fatalf("worker %s has %d calls on 2 slots", worker, m.inFlightOn[worker])
 	}
 }
 
 func (m *model) end(id ident.TaskID) {
 	c := m.calls[id]
-	if c.ended || c.flying {
+	if c.ended || c.inFlight {
 		m.t.Fatalf("%v ended twice or while in flight", id)
 	}
 	c.ended = true
--- a/request/step.go
+++ b/request/step.go
@@ -6,15 +6,15 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// serviceGain is the weight of a new sample in the average service time.
-const serviceGain = 0.05
+// serviceTimeGain is the weight of a new sample in the average service time.
+const serviceTimeGain = 0.05
 
 // minRetryAfter is the shortest advice to come back.
 const minRetryAfter = 100 * time.Millisecond
 
 func (r *Router) admit(now time.Duration, ev Admitted) {
-	c := &call{Admitted: ev, at: now}
-	if ev.Hops > 0 && r.taken.full() {
+	c := &call{Admitted: ev, admittedAt: now}
+	if ev.Hops > 0 && r.forwardedIDs.full() {
 		r.emit(Reject{ID: ev.ID, Cause: &RejectedError{Cause: CauseOverload, RetryAfter: minRetryAfter}})
 		return
 	}
@@ -41,10 +41,10 @@
 	if ev.Hops == 0 {
 		return ""
 	}
-	switch r.taken.take(now, ev.ID) {
-	case takenAway:
+	switch r.forwardedIDs.add(now, ev.ID) {
+	case idAdmitted:
 		return CauseDuplicate
-	case takenRefused:
+	case idRefused:
 		return CauseOverload
 	}
 	return ""
@@ -72,7 +72,7 @@
 // when nobody else does.
 func (r *Router) waitingShare(q *teamQueue) int {
 	total := q.weight
-	for _, other := range r.order {
+	for _, other := range r.sortedTeams {
 		if other != q && other.waiting > 0 {
 			total += other.weight
 		}
@@ -91,10 +91,10 @@
 			slots += w.slots
 		}
 	}
-	if slots == 0 || r.service == 0 {
+	if slots == 0 || r.avgServiceTime == 0 {
 		return 0
 	}
-	return time.Duration(float64(q.waiting+1) * r.service / float64(slots) * float64(time.Second))
+	return time.Duration(float64(q.waiting+1) * r.avgServiceTime / float64(slots) * float64(time.Second))
 }
 
 func (r *Router) retryAfter(q *teamQueue) time.Duration {
@@ -104,7 +104,7 @@
 // start places c on a worker of this host or on a peer, and reports false if c
 // must wait.
 func (r *Router) start(now time.Duration, c *call) bool {
-	w := r.pick(now, c)
+	w := r.pickWorker(now, c)
 	if w != nil && r.opts.Limits.TryUse(c.Team, UnitsOfRequest) {
 		r.dispatch(now, c, w)
 		return true
@@ -112,7 +112,7 @@
 	if w != nil {
 		r.emit(Want{Team: c.Team, Units: UnitsOfRequest + int64(r.team(c.Team).waiting)})
 	}
-	if p := r.spill(now, c); p != nil {
+	if p := r.pickPeer(now, c); p != nil {
 		r.forward(now, c, p)
 		return true
 	}
@@ -120,7 +120,7 @@
 }
 
 func (r *Router) dispatch(now time.Duration, c *call, w *worker) {
-	c.units = true
+	c.holdsUnit = true
 	r.team(c.Team).inFlight++
 	w.begin()
 	c.tries++
@@ -139,10 +139,10 @@
 	r.emit(Forward{ID: c.ID, Peer: p.Host, Try: c.tries})
 }
 
-// drain starts waiting calls while there is room: the team with the least in
+// startWaiting starts waiting calls while there is room: the team with the least in
 // flight for its weight first. A team whose head cannot start is passed over,
 // so that one at its limit does not hold up the others.
-func (r *Router) drain(now time.Duration) {
+func (r *Router) startWaiting(now time.Duration) {
 	if r.waiting == 0 {
 		return
 	}
@@ -157,18 +157,18 @@
 			blocked[q.team] = true
 			continue
 		}
-		q.leave(c)
+		q.dequeue(c)
 		r.waiting--
 	}
 }
 
 func (r *Router) nextTeam(blocked map[ident.TeamID]bool) *teamQueue {
 	var best *teamQueue
-	for _, q := range r.order {
+	for _, q := range r.sortedTeams {
 		if blocked[q.team] || q.head() == nil {
 			continue
 		}
-		if best == nil || q.pressure() < best.pressure() {
+		if best == nil || q.usagePerWeight() < best.usagePerWeight() {
 			best = q
 		}
 	}
@@ -177,7 +177,7 @@
 
 // expire rejects waiting calls whose deadline passed. They never ran.
 func (r *Router) expire(now time.Duration) {
-	for _, q := range r.order {
+	for _, q := range r.sortedTeams {
 		for _, c := range q.calls {
 			if c.waiting && now >= c.Deadline {
 				r.reject(c, r.waitCause(c), r.retryAfter(q))
@@ -212,14 +212,14 @@
 		return
 	}
 	forwarded := c.peer != ""
-	r.settle(now, c, ev)
+	r.endTry(now, c, ev)
 	switch ev.Result {
 	case ResultAnswered:
 		r.complete(c, ev)
 	case ResultNotRun:
-		r.again(now, c, ev, CauseOverload, forwarded)
+		r.retry(now, c, ev, CauseOverload, forwarded)
 	case ResultFailed, ResultUncertain:
-		r.maybeRan(now, c, ev)
+		r.retryIfIdempotent(now, c, ev)
 	case ResultDeadline:
 		r.reject(c, CauseTimedOut, 0)
 	case ResultAbandoned:
@@ -227,26 +227,26 @@
 	}
 }
 
-// settle returns the slot and the unit of the try that ended.
-func (r *Router) settle(now time.Duration, c *call, ev Finished) {
+// endTry returns the slot and the unit of the try that ended.
+func (r *Router) endTry(now time.Duration, c *call, ev Finished) {
 	took := now - c.sentAt
 	if w, ok := r.byID[c.worker]; ok {
-		w.finish(now, took, unhealthy(ev))
+		w.finish(now, took, countsAsFailure(ev))
 	}
 	if ev.Result == ResultAnswered && c.worker != "" {
-		r.service += serviceGain * (took.Seconds() - r.service)
+		r.avgServiceTime += serviceTimeGain * (took.Seconds() - r.avgServiceTime)
 	}
 	if ev.Result == ResultNotRun && c.peer != "" {
-		c.refusers = append(c.refusers, c.peer)
+		c.refusedBy = append(c.refusedBy, c.peer)
 	}
 	c.avoid = c.worker
 	c.worker = ""
 	c.peer = ""
-	r.releaseUnits(c)
+	r.releaseUnit(c)
 }
 
-// unhealthy reports whether a try speaks against its worker.
-func unhealthy(ev Finished) bool {
+// countsAsFailure reports whether a try speaks against its worker.
+func countsAsFailure(ev Finished) bool {
 	switch ev.Result {
 	case ResultFailed, ResultUncertain:
 		return true
@@ -261,30 +261,30 @@
 	if !ev.ServerFail {
 		r.budget(c.Service).earn()
 	}
-	r.forget(c)
+	r.remove(c)
 	r.emit(Complete{ID: c.ID})
 }
 
-// maybeRan handles a try that may have run. A non-idempotent request is never
+// retryIfIdempotent handles a try that may have run. A non-idempotent request is never
 // sent again: its first run may still take effect, and a second would double
 // it. Its caller learns that the outcome is unknown.
-func (r *Router) maybeRan(now time.Duration, c *call, ev Finished) {
+func (r *Router) retryIfIdempotent(now time.Duration, c *call, ev Finished) {
 	if c.NonIdempotent || ev.Committed {
 		r.reject(c, CauseLost, 0)
 		return
 	}
-	c.mayRun = true
-	r.again(now, c, ev, CauseFailed, false)
+	c.mayHaveRun = true
+	r.retry(now, c, ev, CauseFailed, false)
 }
 
-// again tries c once more if its tries, its deadline and the budget allow it.
+// retry tries c once more if its tries, its deadline and the budget allow it.
 // A peer's refusal is free: it cost no upstream anything.
-func (r *Router) again(now time.Duration, c *call, ev Finished, cause Cause, free bool) {
+func (r *Router) retry(now time.Duration, c *call, ev Finished, cause Cause, skipBudget bool) {
 	if c.tries >= r.opts.MaxTries || now >= c.Deadline || ev.Committed {
 		r.reject(c, cause, max(ev.RetryAfter, minRetryAfter))
 		return
 	}
-	if !free && !r.budget(c.Service).spend() {
+	if !skipBudget && !r.budget(c.Service).spend() {
 		r.reject(c, cause, max(ev.RetryAfter, minRetryAfter))
 		return
 	}
--- a/request/taken.go
+++ b/request/taken.go
@@ -6,10 +6,10 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// maxTaken bounds the identifiers that are remembered.
-const maxTaken = 1 << 17
+// maxForwardedIDs bounds the identifiers that are remembered.
+const maxForwardedIDs = 1 << 17
 
-// takenBook remembers the identifiers of forwarded requests.
+// idCache remembers the identifiers of forwarded requests.
 //
 // It guards against a forwarded request that runs twice: its message is
 // doubled or delayed on its way, the first copy runs to its end, and the
@@ -18,58 +18,58 @@
 // What was refused as not run is never run here later, or its sender, who may
 // have tried elsewhere since, would have it run twice. A second copy of it gets
 // the same answer.
-type takenBook struct {
-	keep  time.Duration
-	known map[ident.TaskID]takenState
-	order []takenID // oldest first
+type idCache struct {
+	retention   time.Duration
+	states      map[ident.TaskID]idState
+	oldestFirst []admittedID // oldest first
 }
 
-// takenState says what became of a taken identifier.
-type takenState uint8
+// idState says what became of a taken identifier.
+type idState uint8
 
 const (
-	takenNew     takenState = iota // was not known
-	takenAway                      // runs, or may have run
-	takenRefused                   // did not run and never will here
+	idUnknown  idState = iota // was not known
+	idAdmitted                // runs, or may have run
+	idRefused                 // did not run and never will here
 )
 
-type takenID struct {
+type admittedID struct {
 	id ident.TaskID
 	at time.Duration
 }
 
-func newTakenBook(keep time.Duration) *takenBook {
-	return &takenBook{keep: keep, known: map[ident.TaskID]takenState{}}
+func newIDCache(keep time.Duration) *idCache {
+	return &idCache{retention: keep, states: map[ident.TaskID]idState{}}
 }
 
-// take remembers an identifier and returns what was known of it.
-func (b *takenBook) take(now time.Duration, id ident.TaskID) takenState {
+// add remembers an identifier and returns what was known of it.
+func (b *idCache) add(now time.Duration, id ident.TaskID) idState {
 	b.expire(now)
-	if state := b.known[id]; state != takenNew {
+	if state := b.states[id]; state != idUnknown {
 		return state
 	}
-	b.known[id] = takenAway
-	b.order = append(b.order, takenID{id: id, at: now})
-	return takenNew
+	b.states[id] = idAdmitted
+	b.oldestFirst = append(b.oldestFirst, admittedID{id: id, at: now})
+	return idUnknown
 }
 
-// refuse notes that an identifier was refused as not run.
-func (b *takenBook) refuse(id ident.TaskID) {
-	if b.known[id] == takenAway {
-		b.known[id] = takenRefused
+// markRefused notes that an identifier was refused as not run.
+func (b *idCache) markRefused(id ident.TaskID) {
+	if b.states[id] == idAdmitted {
+		b.states[id] = idRefused
 	}
 }
 
 // full reports whether no further identifier can be remembered.
-func (b *takenBook) full() bool { return len(b.order) >= maxTaken }
+func (b *idCache) full() bool { return len(b.oldestFirst) >= maxForwardedIDs }
 
-func (b *takenBook) expire(now time.Duration) {
+func (b *idCache) expire(now time.Duration) {
 	n := 0
-	for n < len(b.order) && now-b.order[n].at > b.keep {
-		delete(b.known, b.order[n].id)
+	for n < len(b.oldestFirst) && now-b.oldestFirst[n].at > b.retention {
+		delete(b.states, b.oldestFirst[n].id)
 		n++
 	}
 	if n > 0 {
-		b.order = append(b.order[:0], b.order[n:]...)
+		b.oldestFirst = append(b.oldestFirst[:0], b.oldestFirst[n:]...)
 	}
 }
--- a/request/worker.go
+++ b/request/worker.go
@@ -8,12 +8,12 @@
 
 // Health constants of a worker.
 const (
-	latencyGain     = 0.2                    // weight of a new sample in the moving average
-	failureGain     = 0.25                   // likewise for the failure rate
-	quarantineRate  = 0.6                    // failure rate above which a worker is quarantined
-	quarantineFirst = 500 * time.Millisecond // first quarantine; doubles up to quarantineMax
-	quarantineMax   = 30 * time.Second
-	minFailures     = 3 // failures in a row before a quarantine can begin
+	latencyGain            = 0.2                    // weight of a new sample in the moving average
+	failureGain            = 0.25                   // likewise for the failure rate
+	quarantineRate         = 0.6                    // failure rate above which a worker is quarantined
+	quarantineFirst        = 500 * time.Millisecond // first quarantine; doubles up to quarantineMax
+	quarantineMax          = 30 * time.Second
+	minConsecutiveFailures = 3 // failures in a row before a quarantine can begin
 )
 
 // worker is what the router knows of one worker whose slots lease it holds.
@@ -26,17 +26,17 @@
 	inFlight int64 // by calls of this host
 	leaving  bool
 
-	latency  float64 // moving average in seconds
-	failures float64 // moving failure rate, 0 to 1
-	row      int     // failures in a row
+	avgLatency          float64 // moving average in seconds
+	failureRate         float64 // moving failure rate, 0 to 1
+	consecutiveFailures int     // failures in a row
 
 	// A worker that fails everything finishes fast and so always looks idle.
 	// Without a quarantine it would draw most requests of its zone. While
 	// quarantined it gets one probe at each expiry, and returns on success.
-	quarantined bool
-	probeAt     time.Duration
-	probing     bool
-	penalty     time.Duration
+	quarantined      bool
+	trialAt          time.Duration
+	trialInFlight    bool
+	quarantinePeriod time.Duration
 }
 
 // free returns the number of slots open for new calls.
@@ -52,49 +52,49 @@
 	return false
 }
 
-// open reports whether the worker may get a new call at now.
-func (w *worker) open(now time.Duration, s ident.ServiceID) bool {
+// eligible reports whether the worker may get a new call at now.
+func (w *worker) eligible(now time.Duration, s ident.ServiceID) bool {
 	if w.leaving || w.free() <= 0 || !w.serves(s) {
 		return false
 	}
 	if !w.quarantined {
 		return true
 	}
-	return !w.probing && now >= w.probeAt
+	return !w.trialInFlight && now >= w.trialAt
 }
 
 // load orders workers for choice: the expected delay of one more call.
 func (w *worker) load() float64 {
 	busy := float64(w.inFlight+w.occupied+1) / float64(max(w.slots, 1))
-	return busy * (w.latency + 0.001)
+	return busy * (w.avgLatency + 0.001)
 }
 
 // begin accounts for a call that is about to be sent.
 func (w *worker) begin() {
 	w.inFlight++
 	if w.quarantined {
-		w.probing = true
+		w.trialInFlight = true
 	}
 }
 
 // finish accounts for the end of a call.
 func (w *worker) finish(now, took time.Duration, failed bool) {
 	w.inFlight--
-	w.probing = false
+	w.trialInFlight = false
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	w.failures += failureGain * (sample - w.failures)
+	w.failureRate += failureGain * (sample - w.failureRate)
 	if !failed {
-		w.latency += latencyGain * (took.Seconds() - w.latency)
-		w.row = 0
+		w.avgLatency += latencyGain * (took.Seconds() - w.avgLatency)
+		w.consecutiveFailures = 0
 		w.quarantined = false
-		w.penalty = 0
+		w.quarantinePeriod = 0
 		return
 	}
-	w.row++
-	if w.row >= minFailures && w.failures >= quarantineRate {
+	w.consecutiveFailures++
+	if w.consecutiveFailures >= minConsecutiveFailures && w.failureRate >= quarantineRate {
 		w.quarantine(now)
 	}
 }
@@ -102,6 +102,6 @@
 // quarantine takes the worker out of choice until its next probe.
 func (w *worker) quarantine(now time.Duration) {
 	w.quarantined = true
-	w.penalty = min(max(w.penalty*2, quarantineFirst), quarantineMax)
-	w.probeAt = now + w.penalty
+	w.quarantinePeriod = min(max(w.quarantinePeriod*2, quarantineFirst), quarantineMax)
+	w.trialAt = now + w.quarantinePeriod
 }
--- a/request/workers.go
+++ b/request/workers.go
@@ -46,29 +46,29 @@
 	r.workers = append(r.workers[:at], r.workers[at+1:]...)
 }
 
-// pickMost bounds the open workers that are compared for one call.
-const pickMost = 16
+// maxCandidates bounds the open workers that are compared for one call.
+const maxCandidates = 16
 
-// pick chooses a worker for c: the least loaded of all that are open, or of the
+// pickWorker chooses a worker for c: the least loaded of all that are open, or of the
 // first pickMost after a random start. No other host sends calls to them, so
 // their loads are known and hosts cannot all choose the same one. The worker on
 // which c failed last is taken only if no other is open.
-func (r *Router) pick(now time.Duration, c *call) *worker {
+func (r *Router) pickWorker(now time.Duration, c *call) *worker {
 	n := len(r.workers)
 	if n == 0 {
 		return nil
 	}
 	start := r.opts.Rand.IntN(n)
-	seen := 0
+	compared := 0
 	var best, fallback *worker
-	for i := 0; i < n && seen < pickMost; i++ {
+	for i := 0; i < n && compared < maxCandidates; i++ {
 		w := r.workers[(start+i)%n]
 		switch {
-		case !w.open(now, c.Service):
+		case !w.eligible(now, c.Service):
 		case w.id == c.avoid:
 			fallback = w
 		default:
-			seen++
+			compared++
 			best = lessLoaded(best, w)
 		}
 	}
