--- a/request/errors.go
+++ b/request/errors.go
@@ -7,25 +7,25 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Cause says why a request ended without an answer.
+// Cause is the reason why a request ended without an answer.
 type Cause string
 
-// The causes, each with one fixed outcome.
+// The causes. Each maps to one fixed outcome.
 const (
-	CauseOverload  Cause = "overload"       // too much waits already
+	CauseOverload  Cause = "overload"       // the queue is full, or the last try did not run
 	CauseDeadline  Cause = "deadline"       // the deadline passed, or cannot be met
-	CauseLimit     Cause = "team-limit"     // the team's upper limit is in use
-	CauseNoWorker  Cause = "no-worker"      // no reachable worker answers for the service
-	CauseDraining  Cause = "draining"       // this host is stopping
-	CauseDuplicate Cause = "duplicate"      // the identifier was taken before
-	CauseGone      Cause = "caller-gone"    // the caller went away while it waited
-	CauseLost      Cause = "answer-lost"    // sent to a worker and no whole answer came
+	CauseLimit     Cause = "team-limit"     // the team's upper limit is reached
+	CauseNoWorker  Cause = "no-worker"      // no reachable worker serves the service
+	CauseDraining  Cause = "draining"       // this host is draining
+	CauseDuplicate Cause = "duplicate"      // the request ID was received before
+	CauseGone      Cause = "caller-gone"    // the caller disconnected while the request waited
+	CauseLost      Cause = "answer-lost"    // sent to a worker, and no complete answer arrived
 	CauseTimedOut  Cause = "timed-out"      // stopped at its deadline after it was sent
-	CauseFailed    Cause = "upstream-error" // failed on every try
-	CauseClaim     Cause = "claim"          // its idempotency key could not be claimed in the log
+	CauseFailed    Cause = "upstream-error" // every try failed
+	CauseClaim     Cause = "claim"          // the idempotency key could not be claimed in the log
 )
 
-// outcomes maps each cause to the one outcome a caller may conclude from it.
+// outcomes maps each cause to the outcome that a caller may conclude from it.
 var outcomes = map[Cause]work.Outcome{
 	CauseOverload:  work.OutcomeNotRun,
 	CauseDeadline:  work.OutcomeNotRun,
@@ -40,18 +40,20 @@
 	CauseClaim:     work.OutcomeNotRun,
 }
 
-// RejectedError ends a request without an answer.
+// RejectedError reports that a request ended without an answer.
 type RejectedError struct {
 	Cause Cause
-	// RetryAfter is when it is worth asking again; zero if the router cannot say.
+	// RetryAfter is how long the caller should wait before it retries; zero if
+	// unknown.
 	RetryAfter time.Duration
-	// MayHaveRun tells that an earlier try of the same request was sent and
-	// got no answer. A later refusal for want of room must not then claim that
-	// the request did not run.
+	// MayHaveRun is set when an earlier try of the same request was sent and
+	// got no answer. A later refusal for lack of capacity must then not report
+	// that the request did not run.
 	MayHaveRun bool
 }
 
-// Outcome returns what the caller may conclude.
+// Outcome returns what the caller may conclude: unknown if MayHaveRun is set,
+// otherwise the outcome of the cause.
 func (e *RejectedError) Outcome() work.Outcome {
 	if e.MayHaveRun {
 		return work.OutcomeUnknown
--- a/request/message.go
+++ b/request/message.go
@@ -6,34 +6,35 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// Event is an input of the router.
+// Event is an input of Router.Step.
 type Event interface{ isEvent() }
 
-// Admitted hands in a request that passed authentication and, if its caller's
-// idempotency key needs a claim, whose claim is in the log.
+// Admitted submits an authenticated request. If its idempotency key needs a
+// claim, the claim is already in the log.
 type Admitted struct {
 	ID            ident.TaskID
 	Team          ident.TeamID
 	Service       ident.ServiceID
 	Deadline      time.Duration // on the router's clock
 	NonIdempotent bool
-	Hops          int  // times it was forwarded before it came here
-	Pinned        bool // must run from this host; never forwarded
+	Hops          int  // forwards before it reached this host
+	Pinned        bool // must be dispatched by this host; never forwarded
 }
 
-// WorkerReady adds a worker whose slots lease is held, or updates it.
+// WorkerReady adds a worker whose slots lease this host holds, or updates it.
 type WorkerReady struct {
 	Worker      ident.WorkerID
 	Rack        string
 	Services    []ident.ServiceID
 	Slots       int64
 	Connections int64
-	// Occupied is the number of slots taken by calls that an earlier holder
+	// Occupied is the number of slots in use by calls that an earlier holder
 	// of the lease left running.
 	Occupied int64
 }
 
-// WorkerFreed reports the slots that calls of an earlier holder still take.
+// WorkerFreed updates the number of slots in use by calls of an earlier lease
+// holder.
 type WorkerFreed struct {
 	Worker   ident.WorkerID
 	Occupied int64
@@ -44,15 +45,15 @@
 	Worker ident.WorkerID
 }
 
-// WorkerLeaving stops new requests to a worker that leaves or is drained, or
+// WorkerLeaving stops new requests to a worker that is leaving or draining, or
 // allows them again.
 type WorkerLeaving struct {
 	Worker  ident.WorkerID
 	Leaving bool
 }
 
-// PeerSeen updates what is known of a peer's room. Free slots are those not
-// yet promised to its own queue.
+// PeerSeen updates the reported state of a peer. Free is the number of free
+// slots that the peer does not need for its own queue.
 type PeerSeen struct {
 	Host     ident.HostID
 	Zone     ident.Zone
@@ -67,27 +68,27 @@
 	Host ident.HostID
 }
 
-// TeamShare sets the weight of a team in the order of waiting requests.
+// TeamShare sets the fair-share weight of a team among the waiting requests.
 type TeamShare struct {
 	Team   ident.TeamID
 	Weight int64
 }
 
-// Result is how a dispatched or forwarded request ended.
+// Result is the result of a dispatch or forward.
 type Result uint8
 
 // The results.
 const (
-	ResultAnswered  Result = iota + 1 // the whole answer came
-	ResultNotRun                      // certain not to have run here
-	ResultFailed                      // ran and failed, or its answer was cut; it may be sent again only if idempotent
-	ResultUncertain                   // sent, and no answer
+	ResultAnswered  Result = iota + 1 // the complete answer arrived
+	ResultNotRun                      // the request certainly did not run here
+	ResultFailed                      // ran and failed, or its answer was truncated; may be sent again only if idempotent
+	ResultUncertain                   // sent, and no answer arrived
 	ResultDeadline                    // stopped at its deadline after it was sent
-	ResultAbandoned                   // the caller went away after it was sent
+	ResultAbandoned                   // the caller disconnected after it was sent
 )
 
-// MayStillRun reports whether the call may go on on its worker after this
-// result: it was sent, and its end was not seen.
+// MayStillRun reports whether the call may still be running on its worker: it
+// was sent, and its end was not observed.
 func (r Result) MayStillRun() bool {
 	switch r {
 	case ResultAnswered, ResultNotRun:
@@ -100,23 +101,24 @@
 type Finished struct {
 	ID     ident.TaskID
 	Result Result
-	// Committed tells that part of the answer already went to the caller, so
-	// that no second try can be made.
+	// Committed is set when part of the answer was already sent to the caller,
+	// which rules out another try.
 	Committed  bool
 	ServerFail bool          // the upstream answered with a server error
-	Refused    bool          // the worker or peer decided against it; no sign of bad health
-	RetryAfter time.Duration // of a peer's refusal; zero if none
+	Refused    bool          // the worker or peer refused it; not counted as the worker's failure
+	RetryAfter time.Duration // from a peer's refusal; zero if none
 }
 
-// Cancelled withdraws a request that still waits; its caller went away.
+// Cancelled withdraws a waiting request whose caller disconnected.
 type Cancelled struct {
 	ID ident.TaskID
 }
 
-// DrainStarted makes the router refuse new requests and finish the others.
+// DrainStarted makes the router reject new requests and finish those already
+// admitted.
 type DrainStarted struct{}
 
-// Tick lets time pass.
+// Tick advances time and rejects waiting requests whose deadline has passed.
 type Tick struct{}
 
 func (Admitted) isEvent()      {}
@@ -132,32 +134,34 @@
 func (DrainStarted) isEvent()  {}
 func (Tick) isEvent()          {}
 
-// Command is an output of the router.
+// Command is an output of Router.Step.
 type Command interface{ isCommand() }
 
-// Dispatch sends a request to a worker under the slots lease held for it.
+// Dispatch sends a request to a worker under the slots lease that this host
+// holds.
 type Dispatch struct {
 	ID       ident.TaskID
 	Worker   ident.WorkerID
 	Team     ident.TeamID
 	Deadline time.Duration // on the router's clock
-	Try      int           // counts from one
+	Try      int           // starts at 1
 }
 
-// Forward sends a request to a peer, which takes its identifier at most once.
+// Forward sends a request to a peer, which accepts each request ID at most
+// once.
 type Forward struct {
 	ID   ident.TaskID
 	Peer ident.HostID
 	Try  int
 }
 
-// Complete ends a request whose whole answer came.
+// Complete ends a request whose complete answer arrived.
 type Complete struct {
 	ID ident.TaskID
 }
 
-// Reject ends a request without an answer. Cause says why; its outcome is
-// fixed by the cause.
+// Reject ends a request without an answer. Cause holds the reason and the
+// outcome.
 type Reject struct {
 	ID    ident.TaskID
 	Cause *RejectedError
