--- a/request/peers.go
+++ b/request/peers.go
@@ -7,21 +7,20 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// peer is what a digest said of another entry host, and how much this host
-// sent it since.
+// peer is the last reported state of another entry host.
 type peer struct {
 	PeerSeen
 	seenAt time.Duration
-	sent   int64
+	sent   int64 // requests forwarded to it since the report
 }
 
-// pickPeer chooses a peer with room for c: one of its own zone before others,
-// then the one with most room. It returns nil when nobody has room.
+// pickPeer returns a peer with free capacity for c, or nil if there is none.
+// Peers in the host's own zone come first, then those with more free capacity.
 //
-// The room a digest tells of is up to a second old, so several hosts may pickPeer
-// to one peer at once. What was sent since the digest is counted against it,
-// and a peer that still has no room refuses with "not run", which costs a hop
-// and never a run.
+// A peer's report is up to one second old, so several hosts may forward to one
+// peer at once. Requests sent since the report are subtracted from its free
+// capacity, and a peer that is full refuses with "not run", which costs a hop
+// but runs nothing.
 func (r *Router) pickPeer(now time.Duration, c *call) *peer {
 	if c.Pinned || c.Hops >= r.opts.MaxHops || len(c.refusedBy) >= r.opts.MaxTries {
 		return nil
@@ -32,8 +31,8 @@
 		if now-p.seenAt > r.opts.PeerTTL || p.Draining || p.Free-p.sent <= 0 {
 			continue
 		}
-		// The host that minted the identifier has the call open already and
-		// could only call it a duplicate.
+		// The host that issued the ID still has the call open and would reject
+		// it as a duplicate.
 		if host == c.ID.Host || slices.Contains(c.refusedBy, host) || !slices.Contains(p.Services, c.Service) {
 			continue
 		}
--- a/request/queue.go
+++ b/request/queue.go
@@ -6,18 +6,18 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// call is one request from admission to its end.
+// call is one request from its admission to its end.
 type call struct {
 	Admitted
 	tries      int
-	admittedAt time.Duration  // admission
-	sentAt     time.Duration  // last dispatch
+	admittedAt time.Duration
+	sentAt     time.Duration  // last dispatch or forward
 	worker     ident.WorkerID // of the dispatch in flight, if any
-	avoid      ident.WorkerID // worker of the last failed try
+	avoid      ident.WorkerID // worker of the previous try
 	peer       ident.HostID   // of the forward in flight, if any
-	refusedBy  []ident.HostID // peers that refused it
+	refusedBy  []ident.HostID // peers that refused the call
 	waiting    bool
-	holdsUnit  bool // holds a unit of the team's limit
+	holdsUnit  bool // of the team's limit
 	mayHaveRun bool // an earlier try was sent and got no answer
 }
 
@@ -26,11 +26,12 @@
 	team     ident.TeamID
 	weight   int64
 	inFlight int64
-	calls    []*call // ended calls stay until they reach the head
+	calls    []*call // calls that no longer wait are removed at the head
 	waiting  int
 }
 
-// head drops calls that no longer wait and returns the first that does.
+// head removes leading calls that no longer wait and returns the first waiting
+// call, or nil.
 func (q *teamQueue) head() *call {
 	for len(q.calls) > 0 && !q.calls[0].waiting {
 		q.calls[0] = nil
@@ -42,15 +43,15 @@
 	return q.calls[0]
 }
 
-// push appends c as waiting.
+// push appends c as a waiting call.
 func (q *teamQueue) push(c *call) {
 	c.waiting = true
 	q.calls = append(q.calls, c)
 	q.waiting++
 }
 
-// dequeue marks c as no longer waiting. It is removed when it reaches the head,
-// so that a wave of cancellations costs one step each.
+// dequeue marks c as no longer waiting. The entry is removed when it reaches
+// the head, which keeps the cost of each of many cancellations constant.
 func (q *teamQueue) dequeue(c *call) {
 	if !c.waiting {
 		return
@@ -59,8 +60,8 @@
 	q.waiting--
 }
 
-// usagePerWeight orders teams: the one with the least in flight for its weight goes
-// first.
+// usagePerWeight returns the calls in flight relative to the team's weight. The
+// team with the lowest value is served first.
 func (q *teamQueue) usagePerWeight() float64 {
 	return float64(q.inFlight+1) / float64(max(q.weight, 1))
 }
--- a/request/router.go
+++ b/request/router.go
@@ -9,26 +9,27 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// Limits accounts for units of teams' upper limits held by this host.
+// Limits accounts for the units of teams' upper limits that this host holds.
 type Limits interface {
-	// TryUse takes units for a task about to start and reports whether the
-	// host held that many free.
+	// TryUse takes units for a task about to start and reports whether the host
+	// held that many free.
 	TryUse(team ident.TeamID, units int64) bool
-	// Done gives back units of a task that ended.
+	// Done returns the units of a task that ended.
 	Done(team ident.TeamID, units int64)
 }
 
-// Options configure a router. The zero value of a bound takes its default.
+// Options configures a Router. A zero limit or duration selects its default.
 type Options struct {
 	Zone       ident.Zone
 	Limits     Limits
-	Rand       *rand.Rand    // draws candidates; seeded by the caller
-	MaxWaiting int           // requests that may wait; default 512
+	Rand       *rand.Rand    // selects the first candidate worker; seeded by the caller
+	MaxWaiting int           // waiting requests; default 512
 	MaxTries   int           // sends of one request; default 3
 	MaxHops    int           // forwards of one request; default 2
-	PeerTTL    time.Duration // how long a peer's room is believed; default 3 s
-	// Remember is how long the identifier of a forwarded request is known: the
-	// longest life of a request, on its way included; default 2 min.
+	PeerTTL    time.Duration // how long a peer's report is valid; default 3 s
+	// Remember is how long the ID of a forwarded request is kept. It must be at
+	// least the maximum lifetime of a request, including its time on the
+	// network; default 2 min.
 	Remember time.Duration
 }
 
@@ -41,14 +42,15 @@
 	defaultRemember   = 2 * time.Minute
 )
 
-// UnitsOfRequest is what one request uses of its team's limit.
+// UnitsOfRequest is the number of units of its team's limit that one request
+// uses.
 const UnitsOfRequest = 1
 
-// Router is the request path of one entry host. It is not safe for concurrent
+// Router routes the requests of one entry host. It is not safe for concurrent
 // use.
 type Router struct {
 	opts           Options
-	workers        []*worker // sorted by id
+	workers        []*worker // sorted by ID
 	byID           map[ident.WorkerID]*worker
 	calls          map[ident.TaskID]*call
 	forwardedIDs   *idCache
@@ -58,18 +60,18 @@
 	budgets        map[ident.ServiceID]*budget
 	waiting        int
 	draining       bool
-	avgServiceTime float64 // moving average of service time in seconds
+	avgServiceTime float64 // moving average in seconds
 	commands       []Command
 	counters       Counters
 }
 
-// Counters count decisions since start.
+// Counters counts the decisions of a Router since its start.
 type Counters struct {
 	Dispatched, Forwarded, Completed, Retried int64
 	Rejected                                  map[Cause]int64
 }
 
-// New returns a router.
+// New returns a Router without workers, peers or requests.
 func New(opts Options) *Router {
 	if opts.MaxWaiting <= 0 {
 		opts.MaxWaiting = defaultMaxWaiting
@@ -98,8 +100,8 @@
 	}
 }
 
-// Step takes one event at now and returns the commands that follow from it.
-// The slice is valid until the next Step.
+// Step handles one event at time now and returns the resulting commands. The
+// slice is valid until the next Step.
 func (r *Router) Step(now time.Duration, ev Event) []Command {
 	r.commands = r.commands[:0]
 	switch ev := ev.(type) {
@@ -132,8 +134,8 @@
 	return r.commands
 }
 
-// Free returns the slots open for new requests on workers in good health, less
-// the requests that wait for them.
+// Free returns the number of free slots on workers that are neither leaving nor
+// quarantined, minus the waiting requests; at least zero.
 func (r *Router) Free() int64 {
 	var n int64
 	for _, w := range r.workers {
@@ -144,11 +146,12 @@
 	return max(n-int64(r.waiting), 0)
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (r *Router) Waiting() int { return r.waiting }
 
-// InFlight returns the number of requests that this host has admitted and not
-// ended, on the given worker, or on all for an empty name.
+// InFlight returns the number of calls in flight on the given worker. For an
+// empty ID it returns the number of requests that this host has admitted and
+// not ended, including waiting ones.
 func (r *Router) InFlight(id ident.WorkerID) int64 {
 	if id == "" {
 		return int64(len(r.calls))
@@ -159,10 +162,11 @@
 	return 0
 }
 
-// Counters returns the counters.
+// Counters returns the counters since the start of the router.
 func (r *Router) Counters() Counters { return r.counters }
 
-// Quarantined lists workers out of choice because they failed too much.
+// Quarantined returns the workers that are excluded from selection because too
+// many of their calls failed.
 func (r *Router) Quarantined() []ident.WorkerID {
 	var ids []ident.WorkerID
 	for _, w := range r.workers {
@@ -173,7 +177,8 @@
 	return ids
 }
 
-// Services lists the services that this host's workers answer for.
+// Services returns the services of this host's workers, except those of workers
+// that are leaving.
 func (r *Router) Services() []ident.ServiceID {
 	seen := map[ident.ServiceID]bool{}
 	var list []ident.ServiceID
@@ -212,7 +217,7 @@
 
 func (r *Router) emit(c Command) { r.commands = append(r.commands, c) }
 
-// reject ends a call with a cause and frees all it holds.
+// reject ends c with the given cause and releases everything it holds.
 func (r *Router) reject(c *call, cause Cause, after time.Duration) {
 	err := &RejectedError{Cause: cause, RetryAfter: after, MayHaveRun: c.mayHaveRun}
 	r.counters.Rejected[cause]++
--- a/request/step.go
+++ b/request/step.go
@@ -6,10 +6,11 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// serviceTimeGain is the weight of a new sample in the average service time.
+// serviceTimeGain is the weight of a new sample in the moving average of the
+// service time.
 const serviceTimeGain = 0.05
 
-// minRetryAfter is the shortest advice to come back.
+// minRetryAfter is the shortest delay after which a caller is advised to retry.
 const minRetryAfter = 100 * time.Millisecond
 
 func (r *Router) admit(now time.Duration, ev Admitted) {
@@ -33,7 +34,8 @@
 	}
 }
 
-// duplicate returns why an identifier that was taken before is rejected, or "".
+// duplicate returns the cause for rejecting a request whose ID was received
+// before, or "" if the ID is new.
 func (r *Router) duplicate(now time.Duration, ev Admitted) Cause {
 	if _, running := r.calls[ev.ID]; running {
 		return CauseDuplicate
@@ -50,9 +52,10 @@
 	return ""
 }
 
-// enqueue lets c wait, unless too much waits already. The bound is shared in
-// proportion to weight among the teams that wait, so that one team's flood is
-// refused at its own part and leaves the others theirs.
+// enqueue adds c to the queue of its team. It rejects c if the queue is full or
+// the expected wait exceeds the deadline. MaxWaiting is divided by weight among
+// the teams with waiting calls, so a team that floods the host is refused at
+// its own share and leaves the others theirs.
 func (r *Router) enqueue(now time.Duration, c *call) {
 	q := r.team(c.Team)
 	if q.waiting >= r.waitingShare(q) || r.waiting >= r.opts.MaxWaiting {
@@ -67,9 +70,9 @@
 	r.waiting++
 }
 
-// waitingShare is the number of calls that team q may have waiting: its part
-// of the bound by weight among the teams that wait, or half of what is left
-// when nobody else does.
+// waitingShare returns how many calls team q may have waiting: its share of
+// MaxWaiting by weight among the teams with waiting calls, or half of
+// MaxWaiting if no other team has any.
 func (r *Router) waitingShare(q *teamQueue) int {
 	total := q.weight
 	for _, other := range r.sortedTeams {
@@ -83,7 +86,7 @@
 	return max(r.opts.MaxWaiting*int(q.weight)/int(max(total, 1)), 1)
 }
 
-// expectedWait estimates how long one more call of q waits.
+// expectedWait estimates the wait of one more call of q.
 func (r *Router) expectedWait(q *teamQueue) time.Duration {
 	slots := int64(0)
 	for _, w := range r.workers {
@@ -101,8 +104,8 @@
 	return max(r.expectedWait(q), minRetryAfter)
 }
 
-// start places c on a worker of this host or on a peer, and reports false if c
-// must wait.
+// start dispatches c to a worker of this host or forwards it to a peer. It
+// returns false if c must wait.
 func (r *Router) start(now time.Duration, c *call) bool {
 	w := r.pickWorker(now, c)
 	if w != nil && r.opts.Limits.TryUse(c.Team, UnitsOfRequest) {
@@ -139,9 +142,9 @@
 	r.emit(Forward{ID: c.ID, Peer: p.Host, Try: c.tries})
 }
 
-// startWaiting starts waiting calls while there is room: the team with the least in
-// flight for its weight first. A team whose head cannot start is passed over,
-// so that one at its limit does not hold up the others.
+// startWaiting starts waiting calls while there is free capacity, the team with
+// the fewest calls in flight for its weight first. A team whose first call
+// cannot start is skipped, so a team at its limit does not block the others.
 func (r *Router) startWaiting(now time.Duration) {
 	if r.waiting == 0 {
 		return
@@ -175,7 +178,8 @@
 	return best
 }
 
-// expire rejects waiting calls whose deadline passed. They never ran.
+// expire rejects waiting calls whose deadline has passed. They did not run,
+// unless an earlier try did.
 func (r *Router) expire(now time.Duration) {
 	for _, q := range r.sortedTeams {
 		for _, c := range q.calls {
@@ -186,7 +190,7 @@
 	}
 }
 
-// waitCause names what a call that ran out of time was waiting for.
+// waitCause returns the cause for a call whose deadline passed while it waited.
 func (r *Router) waitCause(c *call) Cause {
 	for _, w := range r.workers {
 		if !w.leaving && w.serves(c.Service) {
@@ -205,7 +209,7 @@
 	}
 }
 
-// finished decides what follows the end of a dispatch or forward.
+// finished ends a call after its dispatch or forward ended, or tries it again.
 func (r *Router) finished(now time.Duration, ev Finished) {
 	c, ok := r.calls[ev.ID]
 	if !ok || (c.worker == "" && c.peer == "") {
@@ -227,7 +231,8 @@
 	}
 }
 
-// endTry returns the slot and the unit of the try that ended.
+// endTry releases the slot and the unit of a try that ended and updates the
+// health of its worker.
 func (r *Router) endTry(now time.Duration, c *call, ev Finished) {
 	took := now - c.sentAt
 	if w, ok := r.byID[c.worker]; ok {
@@ -245,7 +250,8 @@
 	r.releaseUnit(c)
 }
 
-// countsAsFailure reports whether a try speaks against its worker.
+// countsAsFailure reports whether the result of a try counts as a failure of
+// its worker.
 func countsAsFailure(ev Finished) bool {
 	switch ev.Result {
 	case ResultFailed, ResultUncertain:
@@ -265,9 +271,9 @@
 	r.emit(Complete{ID: c.ID})
 }
 
-// retryIfIdempotent handles a try that may have run. A non-idempotent request is never
-// sent again: its first run may still take effect, and a second would double
-// it. Its caller learns that the outcome is unknown.
+// retryIfIdempotent handles a try that may have run. A non-idempotent request
+// is never sent again: its first run may still take effect, and a second run
+// would apply it twice. Its caller gets the outcome "unknown".
 func (r *Router) retryIfIdempotent(now time.Duration, c *call, ev Finished) {
 	if c.NonIdempotent || ev.Committed {
 		r.reject(c, CauseLost, 0)
@@ -277,8 +283,8 @@
 	r.retry(now, c, ev, CauseFailed, false)
 }
 
-// retry tries c once more if its tries, its deadline and the budget allow it.
-// A peer's refusal is free: it cost no upstream anything.
+// retry sends c again if MaxTries, its deadline and the retry budget allow it.
+// skipBudget is set for a peer's refusal, which puts no load on an upstream.
 func (r *Router) retry(now time.Duration, c *call, ev Finished, cause Cause, skipBudget bool) {
 	if c.tries >= r.opts.MaxTries || now >= c.Deadline || ev.Committed {
 		r.reject(c, cause, max(ev.RetryAfter, minRetryAfter))
--- a/request/taken.go
+++ b/request/taken.go
@@ -6,34 +6,34 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// maxForwardedIDs bounds the identifiers that are remembered.
+// maxForwardedIDs limits the number of remembered request IDs.
 const maxForwardedIDs = 1 << 17
 
-// idCache remembers the identifiers of forwarded requests.
+// idCache remembers the IDs of forwarded requests.
 //
-// It guards against a forwarded request that runs twice: its message is
-// doubled or delayed on its way, the first copy runs to its end, and the
-// second arrives when nothing else tells that the identifier was taken.
+// It guards against running a forwarded request twice: its message is
+// duplicated or delayed on the network, the first copy runs to its end, and the
+// second arrives when no call with its ID is in flight.
 //
-// What was refused as not run is never run here later, or its sender, who may
-// have tried elsewhere since, would have it run twice. A second copy of it gets
-// the same answer.
+// A request that was refused as "not run" never runs here later: its sender may
+// have tried another host since, and the request would run twice. A second copy
+// of it gets the same answer.
 type idCache struct {
 	retention   time.Duration
 	states      map[ident.TaskID]idState
-	oldestFirst []admittedID // oldest first
+	oldestFirst []idEntry
 }
 
-// idState says what became of a taken identifier.
+// idState is what the cache knows about an ID.
 type idState uint8
 
 const (
-	idUnknown  idState = iota // was not known
-	idAdmitted                // runs, or may have run
+	idUnknown  idState = iota // not in the cache
+	idAdmitted                // in flight, or may have run
 	idRefused                 // did not run and never will here
 )
 
-type admittedID struct {
+type idEntry struct {
 	id ident.TaskID
 	at time.Duration
 }
@@ -42,25 +42,25 @@
 	return &idCache{retention: keep, states: map[ident.TaskID]idState{}}
 }
 
-// add remembers an identifier and returns what was known of it.
+// add remembers id and returns its earlier state, idUnknown if it is new.
 func (b *idCache) add(now time.Duration, id ident.TaskID) idState {
 	b.expire(now)
 	if state := b.states[id]; state != idUnknown {
 		return state
 	}
 	b.states[id] = idAdmitted
-	b.oldestFirst = append(b.oldestFirst, admittedID{id: id, at: now})
+	b.oldestFirst = append(b.oldestFirst, idEntry{id: id, at: now})
 	return idUnknown
 }
 
-// markRefused notes that an identifier was refused as not run.
+// markRefused records that the request was refused as "not run".
 func (b *idCache) markRefused(id ident.TaskID) {
 	if b.states[id] == idAdmitted {
 		b.states[id] = idRefused
 	}
 }
 
-// full reports whether no further identifier can be remembered.
+// full reports whether no further ID can be remembered.
 func (b *idCache) full() bool { return len(b.oldestFirst) >= maxForwardedIDs }
 
 func (b *idCache) expire(now time.Duration) {
