--- a/request/workers.go
+++ b/request/workers.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// workerGone forgets the worker. Calls in flight to it end by their own
-// Finished event: a lost lease does not cut them off.
+// workerGone removes the worker. Calls in flight on it end with their own
+// Finished event: the loss of the lease does not interrupt them.
 func (r *Router) workerGone(id ident.WorkerID) {
 	if _, ok := r.byID[id]; !ok {
 		return
@@ -46,13 +46,14 @@
 	r.workers = append(r.workers[:at], r.workers[at+1:]...)
 }
 
-// maxCandidates bounds the open workers that are compared for one call.
+// maxCandidates limits the eligible workers that are compared for one call.
 const maxCandidates = 16
 
-// pickWorker chooses a worker for c: the least loaded of all that are open, or of the
-// first pickMost after a random start. No other host sends calls to them, so
-// their loads are known and hosts cannot all choose the same one. The worker on
-// which c failed last is taken only if no other is open.
+// pickWorker returns the least loaded eligible worker for c, or nil if there is
+// none. It compares at most maxCandidates workers from a random start. No other
+// host sends calls to them, so their loads are known, and hosts cannot all
+// choose the same worker. The worker of the previous try is used only if no
+// other is eligible.
 func (r *Router) pickWorker(now time.Duration, c *call) *worker {
 	n := len(r.workers)
 	if n == 0 {
@@ -78,8 +79,8 @@
 	return best
 }
 
-// lessLoaded returns the less loaded of two workers, the first if they are
-// equal or the second if there is no first.
+// lessLoaded returns the less loaded of two workers: a if they are equal, b if
+// a is nil.
 func lessLoaded(a, b *worker) *worker {
 	if a == nil || b.load() < a.load() {
 		return b
