--- a/request/choice_test.go
+++ b/request/choice_test.go
@@ -11,16 +11,17 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// The zone of the replay: few workers, as one entry host holds. A call takes
-// longer the more of its worker's slots are in use, and one worker is slow.
+// Parameters of the replay: a few workers, as many as one entry host holds. A
+// call takes longer the more slots of its worker are in use, and one worker is
+// slow.
 const (
 	choiceWorkers         = 4
 	choiceSlots           = 8
 	choiceCalls           = 40_000
-	choiceMean            = 40 * time.Millisecond // of a call alone on its worker
+	choiceMean            = 40 * time.Millisecond // of a call that is alone on its worker
 	choiceDeadline        = 30 * time.Second
-	choiceSlowdownPerCall = 0.08 // longer by this part for each other call on the worker
-	choiceSlowFactor      = 2    // times longer on the first worker
+	choiceSlowdownPerCall = 0.08 // relative, for each other call on the worker
+	choiceSlowFactor      = 2    // of the first worker
 )
 
 type callEnd struct {
@@ -50,7 +51,7 @@
 	inFlight map[ident.WorkerID]int
 	workerOf map[ident.TaskID]ident.WorkerID
 	waits    []time.Duration // from arrival to dispatch
-	totals   []time.Duration // from arrival to the answer
+	totals   []time.Duration // from arrival to answer
 	rejected int
 }
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// endUntil answers the calls that end before a time.
+// endUntil answers the calls that end by the given time.
 func (c *choiceReplay) endUntil(at time.Duration) {
 	for len(c.ends) > 0 && c.ends[0].at <= at {
 		end := heap.Pop(&c.ends).(callEnd)
@@ -104,8 +105,8 @@
 	}
 }
 
-// run replays arrivals at a part of the rate that the slots could serve if
-// every call was crowded by all others.
+// run replays arrivals at a fraction of the rate that the slots could serve if
+// every worker were full.
 func (c *choiceReplay) run(load float64) {
 	crowded := choiceMean.Seconds() * (1 + choiceSlowdownPerCall*(choiceSlots-1))
 	rate := load * choiceSlots * (choiceWorkers - 1 + 1.0/choiceSlowFactor) / crowded
@@ -125,7 +126,7 @@
 	return list[(len(list)-1)*hundredths/100].Seconds() * 1000
 }
 
-// One call goes to each of the workers before any gets a second one.
+// Each worker gets one call before any gets a second.
 func TestCallsGoToLeastLoadedWorker(t *testing.T) {
 	c := newChoiceReplay(7)
 	for i := range choiceWorkers {
@@ -138,9 +139,9 @@
 	}
 }
 
-// BenchmarkChoice reports waits for a slot and whole times of calls, in
-// milliseconds. They are the same in every run; only the time of a call of the
-// router varies.
+// BenchmarkChoice reports the waits for a slot and the total times of calls, in
+// milliseconds. They are the same in every run; only the time per router call
+// varies.
 func BenchmarkChoice(b *testing.B) {
 	for _, percent := range []int{70, 90} {
 		b.Run(fmt.Sprintf("load=%d", percent), func(b *testing.B) {
--- a/request/router_test.go
+++ b/request/router_test.go
@@ -12,7 +12,7 @@
 	"github.com/fireflyfold/fireflyfold/work"
 )
 
-// fixedLimits is a holder of a fixed number of units for every team.
+// fixedLimits holds a fixed number of units for every team.
 type fixedLimits struct {
 	limit int64
 	used  map[ident.TeamID]int64
@@ -70,9 +70,9 @@
 	return found[0]
 }
 
-// An approval is sent to a worker and the connection breaks before an answer.
-// The approval may have taken effect, so it must not be sent to another worker,
-// and its caller must not read "not run" and repeat it.
+// A non-idempotent request is sent to a worker and the connection breaks before
+// an answer. It may have taken effect, so it must not be sent to another
+// worker, and its caller must not get "not run" and repeat it.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	r := newRouter(newLimits(10), 4, Options{})
 	onlyCommand[Dispatch](t, r.Step(0, admitted(1, "t", true)))
@@ -82,9 +82,9 @@
 	}
 }
 
-// A forwarded approval is doubled on its way. The first copy runs to its end;
-// the second arrives later, when no call of that name is in flight, and must
-// not run again.
+// A forward of a non-idempotent request is duplicated on the network. The first
+// copy runs to its end; the second arrives later, when no call with its ID is
+// in flight, and must not run.
 func TestDuplicateForwardRunsOnce(t *testing.T) {
 	r := newRouter(newLimits(10), 4, Options{})
 	ev := admitted(1, "t", true)
@@ -97,9 +97,9 @@
 	}
 }
 
-// A forwarded request is refused as not run by a host that stops, and its
-// sender tries elsewhere. A second copy of the forward that arrives late must
-// not run either, and is truthfully refused as not run once more.
+// A forwarded request is refused as "not run" because its deadline passed in
+// the queue, and its sender tries another host. A second copy of the forward
+// that arrives late must not run, and is again refused as "not run".
 func TestRefusedForwardStaysRefused(t *testing.T) {
 	r := newRouter(newLimits(10), 0, Options{})
 	ev := admitted(1, "t", true)
@@ -115,9 +115,9 @@
 	}
 }
 
-// An idempotent request is lost on its first worker, is to be tried again, and
-// finds too many waiting. Its caller is refused for want of room, but must not
-// be told that it did not run: the first try may have.
+// An idempotent request gets no answer from its first worker, is retried, and
+// finds the queue full. It is refused for overload, but the outcome must not be
+// "not run": the first try may have run.
 func TestRefusalAfterLostTryIsUnknown(t *testing.T) {
 	r := newRouter(newLimits(100), 1, Options{MaxWaiting: 1})
 	onlyCommand[Dispatch](t, r.Step(0, admitted(1, "t", false)))
@@ -131,9 +131,9 @@
 	}
 }
 
-// A worker fails everything at once. It is always idle, so choosing by load
-// alone would send it most requests; after a few failures it must get only
-// probes, and return once a probe succeeds.
+// A worker fails every call at once. It is always idle, so selection by load
+// alone would send it most requests. After a few failures it must get only
+// trial calls, and leave quarantine when one succeeds.
 func TestQuarantineOfFailingWorker(t *testing.T) {
 	r := newRouter(newLimits(100), 2, Options{MaxTries: 1})
 	now := time.Duration(0)
@@ -150,7 +150,7 @@
 		run(n, true)
 	}
 	if sent[workerID(0)] > calls/5 {
-		t.Errorf("%d of %d requests went to the worker that fails", sent[workerID(0)], calls)
+		t.Errorf("%d of %d requests went to the failing worker", sent[workerID(0)], calls)
 	}
 	if len(r.Quarantined()) != 1 {
 		t.Fatalf("quarantined %v, want the failing worker", r.Quarantined())
@@ -164,8 +164,9 @@
 	}
 }
 
-// One team floods a host, another sends a little. The flood is refused at its
-// own part of the queue, and every request of the other team is taken.
+// One team floods a host while another sends a few requests. The flood is
+// refused at its own share of the queue, and every request of the other team is
+// accepted.
 func TestFloodLeavesQueueShareOfOtherTeams(t *testing.T) {
 	r := newRouter(newLimits(100), 1, Options{MaxWaiting: 20})
 	refused := map[ident.TeamID]int{}
@@ -185,14 +186,15 @@
 		admit("quiet")
 	}
 	if refused["flood"] == 0 || refused["quiet"] != 0 {
-		t.Errorf("refused %v, want some of the flood and none of the quiet team", refused)
+		t.Errorf("refused %v, want some of team flood and none of team quiet", refused)
 	}
 }
 
 // Every upstream is down and every request fails. Retrying each of them would
-// triple the load; the budget must bound retries to a share of successes.
+// triple the load; the budget must limit retries to a fraction of the
+// successes.
 func TestRetryBudgetBoundsAmplification(t *testing.T) {
-	const workers = 400 // so many that none fails often enough for a quarantine
+	const workers = 400 // too many for any one to fail often enough for a quarantine
 	r := newRouter(newLimits(1000), workers, Options{MaxTries: 3})
 	dispatched := 0
 	const calls = 200
@@ -208,13 +210,13 @@
 		}
 	}
 	if dispatched > calls+calls/10 {
-		t.Errorf("%d sends for %d requests that all fail", dispatched, calls)
+		t.Errorf("%d sends for %d failing requests", dispatched, calls)
 	}
 }
 
-// Random orders of events, with random results. Whatever happens, each request
-// ends exactly once, one that must not run twice is not sent again after a try
-// that may have run, no worker has more calls than slots, and all units return.
+// Events in random order with random results. Each request ends exactly once, a
+// non-idempotent one is not sent again after a try that may have run, no worker
+// has more calls than slots, and all units are returned.
 func TestRouterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := newLimits(int64(rapid.IntRange(1, 6).Draw(t, "limit")))
@@ -237,7 +239,7 @@
 	})
 }
 
-// model follows a router and checks its commands.
+// model tracks the requests of a router and checks its commands.
 type model struct {
 	t          *rapid.T
 	r          *Router
@@ -251,8 +253,8 @@
 type modelCall struct {
 	nonIdempotent bool
 	maybeRan      bool
-	worker        ident.WorkerID // in flight there
-	inFlight      bool           // in flight there or at a peer
+	worker        ident.WorkerID // of the dispatch in flight, if any
+	inFlight      bool           // on a worker or at a peer
 	ended         bool
 }
 
@@ -317,7 +319,7 @@
 		case Reject:
 			c := m.calls[cmd.ID]
 			if c.maybeRan && cmd.Cause.Outcome() == work.OutcomeNotRun {
-				m.t.Fatalf("%v may have run and is refused as not run", cmd.ID)
+				m.t.Fatalf("%v may have run but was rejected as not run", cmd.ID)
 			}
 			m.end(cmd.ID)
 		}
@@ -327,10 +329,10 @@
 func (m *model) send(id ident.TaskID, worker ident.WorkerID) {
 	c := m.calls[id]
 	if c.ended || c.inFlight {
-		m.t.Fatalf("%v sent while in flight or after its end", id)
+		m.t.Fatalf("%v sent while in flight or after it ended", id)
 	}
 	if c.nonIdempotent && c.maybeRan {
-		m.t.Fatalf("%v must not run twice and is sent again", id)
+		m.t.Fatalf("%v is non-idempotent, may have run and was sent again", id)
 	}
 	c.inFlight = true
 	c.worker = worker
@@ -351,7 +353,7 @@
 	c.ended = true
 }
 
-// finishAll lets every call end and checks that none is left.
+// finishAll ends every call and checks that none is left.
 func (m *model) finishAll() {
 	for range 10 * len(m.order) {
 		m.now += time.Minute
