--- a/engine/membership.go
+++ b/engine/membership.go
@@ -18,18 +18,19 @@
 		case member.SendDigest:
 			e.emit(SendDigest{Host: cmd.Host, Addr: cmd.Addr, Digest: cmd.Digest})
 		case member.Want:
-			e.want(lease.Key{Worker: cmd.Worker, Class: cmd.Class}, cmd.Wanted)
+			e.wantLease(lease.Key{Worker: cmd.Worker, Class: cmd.Class}, cmd.Wanted)
 		case member.SchedulerWanted:
 			e.schedulerWanted(cmd.Wanted)
 		}
 	}
 }
 
-// want passes a wish for a lease on, unless a promise to another host forbids
-// to hold it.
-func (e *Engine) want(key lease.Key, wanted bool) {
+// wantLease forwards whether membership wants a lease to the lease manager.
+// While a compute lease is covered by a promise to another host, it is not
+// wanted.
+func (e *Engine) wantLease(key lease.Key, wanted bool) {
 	if key.Class == ports.ClassCompute && e.reclaim.promised(key.Worker) {
-		e.reclaim.wishes[key.Worker] = wanted
+		e.reclaim.wanted[key.Worker] = wanted
 		wanted = false
 	}
 	e.stepLeases(lease.Want{Key: key, Wanted: wanted})
@@ -38,7 +39,7 @@
 func (e *Engine) listed(ev Listed) {
 	e.stepMembers(member.ListRead{Listing: ev.Listing})
 	e.applyMarks()
-	e.listedHosts(ev.Listing)
+	e.hostsListed(ev.Listing)
 }
 
 func (e *Engine) digestReceived(d member.Digest) {
@@ -55,7 +56,7 @@
 		Draining: d.Draining,
 	})
 	e.config.peerSeen(e.now, d)
-	if d.Zone == e.opts.Zone { // others never touch this zone's workers
+	if d.Zone == e.opts.Zone { // hosts of other zones never use this zone's workers
 		e.stepRecovery(jobs.HostHeard{Host: d.Holder.Host})
 	}
 }
@@ -65,15 +66,15 @@
 	e.stepRouter(request.PeerGone{Host: host})
 }
 
-// loadEvery is how old the load in a digest may be.
-const loadEvery = 100 * time.Millisecond
+// loadInterval is the interval at which the load in digests is refreshed.
+const loadInterval = 100 * time.Millisecond
 
-// reportLoad tells membership what digests are to carry.
+// reportLoad updates the load that membership puts into digests.
 func (e *Engine) reportLoad() {
-	if e.now < e.loadNext {
+	if e.now < e.nextLoadAt {
 		return
 	}
-	e.loadNext = e.now + loadEvery
+	e.nextLoadAt = e.now + loadInterval
 	load := member.Load{
 		FreeSlots: int(e.router.Free()),
 		Waiting:   e.router.Waiting(),
@@ -90,11 +91,11 @@
 	e.stepMembers(member.LoadChanged{Load: load})
 }
 
-// Digest returns a digest of this host, to answer a peer's with.
+// Digest returns the digest of this host, the reply to a peer's digest.
 func (e *Engine) Digest() member.Digest { return e.members.Digest() }
 
-// applyMarks tells the request path and the scheduler which workers take
-// nothing new, by the host list or by an operator's mark.
+// applyMarks updates the request path and the scheduler with the workers that
+// accept no new work, by the host list or by an operator's mark.
 func (e *Engine) applyMarks() {
 	for _, entry := range e.members.Workers() {
 		e.applyMark(entry)
@@ -107,19 +108,20 @@
 	e.markCompute(entry.Worker, leaving)
 }
 
-// View is what the edges know of the other hosts. It is immutable.
+// View is the state of the other hosts as published to the front ends. It is
+// immutable.
 type View struct {
 	Schedules bool // this host owns its zone's job stream
 	Hosts     []ViewHost
 }
 
-// ViewHost is one other host that counts as live.
+// ViewHost is one other host that membership considers live.
 type ViewHost struct {
 	Host      ident.HostID
 	Zone      ident.Zone
 	Addr      string
-	Scheduler bool // by its last digest
-	Heard     bool
+	Scheduler bool // according to its last digest
+	Heard     bool // a digest of it has been received
 	Config    ports.Offset
 	Waiting   int
 	Leases    int
@@ -127,18 +129,19 @@
 	Holder    ident.Holder
 }
 
-// viewEvery is how soon the view shows that a host has fallen silent. What is
-// heard of a host, and ownership of the job stream, are shown at once.
-const viewEvery = 200 * time.Millisecond
+// viewInterval bounds the delay until the view omits a host that no longer
+// sends digests. Received digests and ownership of the job stream take effect
+// at once.
+const viewInterval = 200 * time.Millisecond
 
-// publishView gives the edges a new view when it has changed.
+// publishView publishes a new view if it has changed.
 func (e *Engine) publishView() {
 	changes := e.members.Changes()
-	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewOf == changes && e.now < e.viewNext {
+	if e.viewSent && e.view.Schedules == e.Schedules() && e.viewChanges == changes && e.now < e.nextViewAt {
 		return
 	}
-	e.viewOf = changes
-	e.viewNext = e.now + viewEvery
+	e.viewChanges = changes
+	e.nextViewAt = e.now + viewInterval
 	view := View{Schedules: e.Schedules()}
 	for _, p := range e.members.Live(e.now) {
 		view.Hosts = append(view.Hosts, viewHost(p))
--- a/engine/quarantine.go
+++ b/engine/quarantine.go
@@ -7,34 +7,35 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// quarantineEvery is the time between two looks at which workers are out of
-// choice, to tell operators of changes.
-const quarantineEvery = time.Second
+// quarantineInterval is the interval at which changes of the set of quarantined
+// workers are reported to operators.
+const quarantineInterval = time.Second
 
-// quarantineWatch remembers which workers the request path keeps out of choice.
+// quarantineWatch holds the workers that were quarantined by the request path
+// at the last check.
 type quarantineWatch struct {
 	known  []ident.WorkerID // sorted
 	nextAt time.Duration
 }
 
-// tickQuarantine notes workers that were quarantined or returned since the last
-// look.
+// tickQuarantine emits a note for each worker that has entered or left
+// quarantine since the last check.
 func (e *Engine) tickQuarantine() {
 	w := &e.quarantine
 	if e.now < w.nextAt {
 		return
 	}
-	w.nextAt = e.now + quarantineEvery
-	now := e.router.Quarantined()
-	for _, id := range now {
+	w.nextAt = e.now + quarantineInterval
+	current := e.router.Quarantined()
+	for _, id := range current {
 		if !slices.Contains(w.known, id) {
 			e.note(NoteQuarantine, "worker "+string(id)+" fails what it is sent; it gets a probe now and then")
 		}
 	}
 	for _, id := range w.known {
-		if !slices.Contains(now, id) {
+		if !slices.Contains(current, id) {
 			e.note(NoteQuarantine, "worker "+string(id)+" has left quarantine")
 		}
 	}
-	w.known = now
+	w.known = current
 }
