--- a/engine/leases.go
+++ b/engine/leases.go
@@ -102,7 +102,7 @@
 		e.computeReported(ev)
 		return
 	}
-	e.stepRouter(request.WorkerFreed{Worker: ev.Worker, Occupied: e.uncountedCalls(ev.Worker, ev.SentAt, ev.Tasks)})
+	e.stepRouter(request.WorkerOccupancy{Worker: ev.Worker, Occupied: e.uncountedCalls(ev.Worker, ev.SentAt, ev.Tasks)})
 	if len(e.calls.lingering) > 0 {
 		e.reportLingering(ev.Worker, ev.SentAt, ev.Tasks)
 	}
--- a/request/message.go
+++ b/request/message.go
@@ -33,9 +33,9 @@
 	Occupied int64
 }
 
-// WorkerFreed updates the number of slots in use by calls of an earlier lease
+// WorkerOccupancy updates the number of slots in use by calls of an earlier lease
 // holder.
-type WorkerFreed struct {
+type WorkerOccupancy struct {
 	Worker   ident.WorkerID
 	Occupied int64
 }
@@ -121,18 +121,18 @@
 // Tick advances time and rejects waiting requests whose deadline has passed.
 type Tick struct{}
 
-func (Admitted) isEvent()      {}
-func (WorkerReady) isEvent()   {}
-func (WorkerFreed) isEvent()   {}
-func (WorkerGone) isEvent()    {}
-func (WorkerLeaving) isEvent() {}
-func (PeerSeen) isEvent()      {}
-func (PeerGone) isEvent()      {}
-func (TeamShare) isEvent()     {}
-func (Finished) isEvent()      {}
-func (Cancelled) isEvent()     {}
-func (DrainStarted) isEvent()  {}
-func (Tick) isEvent()          {}
+func (Admitted) isEvent()        {}
+func (WorkerReady) isEvent()     {}
+func (WorkerOccupancy) isEvent() {}
+func (WorkerGone) isEvent()      {}
+func (WorkerLeaving) isEvent()   {}
+func (PeerSeen) isEvent()        {}
+func (PeerGone) isEvent()        {}
+func (TeamShare) isEvent()       {}
+func (Finished) isEvent()        {}
+func (Cancelled) isEvent()       {}
+func (DrainStarted) isEvent()    {}
+func (Tick) isEvent()            {}
 
 // Command is an output of Router.Step.
 type Command interface{ isCommand() }
--- a/request/router.go
+++ b/request/router.go
@@ -113,7 +113,7 @@
 		r.cancel(ev.ID)
 	case WorkerReady:
 		r.workerReady(ev)
-	case WorkerFreed:
+	case WorkerOccupancy:
 		r.workerFreed(ev)
 	case WorkerGone:
 		r.workerGone(ev.Worker)
