--- a/engine/requests.go
+++ b/engine/requests.go
@@ -98,7 +98,7 @@
 	case request.Reject:
 		e.emit(RequestDone{ID: cmd.ID, Cause: cmd.Cause})
 		e.claimEnded(cmd.ID, cmd.Cause.Outcome())
-	case request.Want:
+	case request.NeedUnits:
 		e.demand.request(cmd.Team, cmd.Units)
 	}
 }
--- a/request/message.go
+++ b/request/message.go
@@ -167,14 +167,14 @@
 	Cause *RejectedError
 }
 
-// Want asks for units of a team's limit that waiting requests need.
-type Want struct {
+// NeedUnits asks for units of a team's limit that waiting requests need.
+type NeedUnits struct {
 	Team  ident.TeamID
 	Units int64
 }
 
-func (Dispatch) isCommand() {}
-func (Forward) isCommand()  {}
-func (Complete) isCommand() {}
-func (Reject) isCommand()   {}
-func (Want) isCommand()     {}
+func (Dispatch) isCommand()  {}
+func (Forward) isCommand()   {}
+func (Complete) isCommand()  {}
+func (Reject) isCommand()    {}
+func (NeedUnits) isCommand() {}
--- a/request/step.go
+++ b/request/step.go
@@ -113,7 +113,7 @@
 		return true
 	}
 	if w != nil {
-		r.emit(Want{Team: c.Team, Units: UnitsOfRequest + int64(r.team(c.Team).waiting)})
+		r.emit(NeedUnits{Team: c.Team, Units: UnitsOfRequest + int64(r.team(c.Team).waiting)})
 	}
 	if p := r.pickPeer(now, c); p != nil {
 		r.forward(now, c, p)
