--- a/request/errors.go
+++ b/request/errors.go
@@ -12,32 +12,32 @@
 
 // The causes. Each maps to one fixed outcome.
 const (
-	CauseOverload  Cause = "overload"       // the queue is full, or the last try did not run
-	CauseDeadline  Cause = "deadline"       // the deadline passed, or cannot be met
-	CauseLimit     Cause = "team-limit"     // the team's upper limit is reached
-	CauseNoWorker  Cause = "no-worker"      // no reachable worker serves the service
-	CauseDraining  Cause = "draining"       // this host is draining
-	CauseDuplicate Cause = "duplicate"      // the request ID was received before
-	CauseGone      Cause = "caller-gone"    // the caller disconnected while the request waited
-	CauseLost      Cause = "answer-lost"    // sent to a worker, and no complete answer arrived
-	CauseTimedOut  Cause = "timed-out"      // stopped at its deadline after it was sent
-	CauseFailed    Cause = "upstream-error" // every try failed
-	CauseClaim     Cause = "claim"          // the idempotency key could not be claimed in the log
+	CauseOverload   Cause = "overload"       // the queue is full, or the last try did not run
+	CauseDeadline   Cause = "deadline"       // the deadline passed, or cannot be met
+	CauseLimit      Cause = "team-limit"     // the team's upper limit is reached
+	CauseNoWorker   Cause = "no-worker"      // no reachable worker serves the service
+	CauseDraining   Cause = "draining"       // this host is draining
+	CauseDuplicate  Cause = "duplicate"      // the request ID was received before
+	CauseCallerGone Cause = "caller-gone"    // the caller disconnected while the request waited
+	CauseLost       Cause = "answer-lost"    // sent to a worker, and no complete answer arrived
+	CauseTimedOut   Cause = "timed-out"      // stopped at its deadline after it was sent
+	CauseFailed     Cause = "upstream-error" // every try failed
+	CauseClaim      Cause = "claim"          // the idempotency key could not be claimed in the log
 )
 
 // outcomes maps each cause to the outcome that a caller may conclude from it.
 var outcomes = map[Cause]work.Outcome{
-	CauseOverload:  work.OutcomeNotRun,
-	CauseDeadline:  work.OutcomeNotRun,
-	CauseLimit:     work.OutcomeNotRun,
-	CauseNoWorker:  work.OutcomeNotRun,
-	CauseDraining:  work.OutcomeNotRun,
-	CauseDuplicate: work.OutcomeUnknown,
-	CauseGone:      work.OutcomeNotRun,
-	CauseLost:      work.OutcomeUnknown,
-	CauseTimedOut:  work.OutcomeUnknown,
-	CauseFailed:    work.OutcomeUnknown,
-	CauseClaim:     work.OutcomeNotRun,
+	CauseOverload:   work.OutcomeNotRun,
+	CauseDeadline:   work.OutcomeNotRun,
+	CauseLimit:      work.OutcomeNotRun,
+	CauseNoWorker:   work.OutcomeNotRun,
+	CauseDraining:   work.OutcomeNotRun,
+	CauseDuplicate:  work.OutcomeUnknown,
+	CauseCallerGone: work.OutcomeNotRun,
+	CauseLost:       work.OutcomeUnknown,
+	CauseTimedOut:   work.OutcomeUnknown,
+	CauseFailed:     work.OutcomeUnknown,
+	CauseClaim:      work.OutcomeNotRun,
 }
 
 // RejectedError reports that a request ended without an answer.
--- a/request/step.go
+++ b/request/step.go
@@ -205,7 +205,7 @@
 
 func (r *Router) cancel(id ident.TaskID) {
 	if c, ok := r.calls[id]; ok && c.waiting {
-		r.reject(c, CauseGone, 0)
+		r.reject(c, CauseCallerGone, 0)
 	}
 }
 
