--- a/request/errors.go
+++ b/request/errors.go
@@ -19,7 +19,7 @@
 	CauseDraining   Cause = "draining"       // this host is draining
 	CauseDuplicate  Cause = "duplicate"      // the request ID was received before
 	CauseCallerGone Cause = "caller-gone"    // the caller disconnected while the request waited
-	CauseLost       Cause = "answer-lost"    // sent to a worker, and no complete answer arrived
+	CauseAnswerLost Cause = "answer-lost"    // sent to a worker, and no complete answer arrived
 	CauseTimedOut   Cause = "timed-out"      // stopped at its deadline after it was sent
 	CauseFailed     Cause = "upstream-error" // every try failed
 	CauseClaim      Cause = "claim"          // the idempotency key could not be claimed in the log
@@ -34,7 +34,7 @@
 	CauseDraining:   work.OutcomeNotRun,
 	CauseDuplicate:  work.OutcomeUnknown,
 	CauseCallerGone: work.OutcomeNotRun,
-	CauseLost:       work.OutcomeUnknown,
+	CauseAnswerLost: work.OutcomeUnknown,
 	CauseTimedOut:   work.OutcomeUnknown,
 	CauseFailed:     work.OutcomeUnknown,
 	CauseClaim:      work.OutcomeNotRun,
--- a/request/step.go
+++ b/request/step.go
@@ -227,7 +227,7 @@
 	case ResultDeadline:
 		r.reject(c, CauseTimedOut, 0)
 	case ResultAbandoned:
-		r.reject(c, CauseLost, 0)
+		r.reject(c, CauseAnswerLost, 0)
 	}
 }
 
@@ -276,7 +276,7 @@
 // would apply it twice. Its caller gets the outcome "unknown".
 func (r *Router) retryIfIdempotent(now time.Duration, c *call, ev Finished) {
 	if c.NonIdempotent || ev.Committed {
-		r.reject(c, CauseLost, 0)
+		r.reject(c, CauseAnswerLost, 0)
 		return
 	}
 	c.mayHaveRun = true
