--- a/entry/forward.go
+++ b/entry/forward.go
@@ -87,7 +87,7 @@
 		}
 		fin.Committed = held.committed
 		if err != nil {
-			fin.Result = request.ResultAbandoned
+			fin.Result = request.ResultCallerGone
 			return fin, err
 		}
 	}
@@ -118,7 +118,7 @@
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return request.ResultDeadline
 	case ctx.Err() != nil:
-		return request.ResultAbandoned
+		return request.ResultCallerGone
 	default:
 		return request.ResultUncertain
 	}
--- a/entry/runcall.go
+++ b/entry/runcall.go
@@ -150,11 +150,11 @@
 	case res.whole():
 		fin.Result = request.ResultAnswered
 	case res.caller != nil:
-		fin.Result = request.ResultAbandoned
+		fin.Result = request.ResultCallerGone
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		fin.Result = request.ResultDeadline
 	case ctx.Err() != nil:
-		fin.Result = request.ResultAbandoned
+		fin.Result = request.ResultCallerGone
 	default:
 		fin.Result = request.ResultFailed
 	}
@@ -174,7 +174,7 @@
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return request.ResultDeadline
 	case ctx.Err() != nil:
-		return request.ResultAbandoned
+		return request.ResultCallerGone
 	default:
 		return request.ResultUncertain
 	}
--- a/request/message.go
+++ b/request/message.go
@@ -79,12 +79,12 @@
 
 // The results.
 const (
-	ResultAnswered  Result = iota + 1 // the complete answer arrived
-	ResultNotRun                      // the request certainly did not run here
-	ResultFailed                      // ran and failed, or its answer was truncated; may be sent again only if idempotent
-	ResultUncertain                   // sent, and no answer arrived
-	ResultDeadline                    // stopped at its deadline after it was sent
-	ResultAbandoned                   // the caller disconnected after it was sent
+	ResultAnswered   Result = iota + 1 // the complete answer arrived
+	ResultNotRun                       // the request certainly did not run here
+	ResultFailed                       // ran and failed, or its answer was truncated; may be sent again only if idempotent
+	ResultUncertain                    // sent, and no answer arrived
+	ResultDeadline                     // stopped at its deadline after it was sent
+	ResultCallerGone                   // the caller disconnected after it was sent
 )
 
 // MayStillRun reports whether the call may still be running on its worker: it
--- a/request/router_test.go
+++ b/request/router_test.go
@@ -290,7 +290,7 @@
 func (m *model) finishOne() {
 	for _, id := range m.order {
 		if c := m.calls[id]; c.inFlight {
-			result := Result(rapid.IntRange(int(ResultAnswered), int(ResultAbandoned)).Draw(m.t, "result"))
+			result := Result(rapid.IntRange(int(ResultAnswered), int(ResultCallerGone)).Draw(m.t, "result"))
 			m.finish(id, c, result)
 			return
 		}
--- a/request/step.go
+++ b/request/step.go
@@ -226,7 +226,7 @@
 		r.retryIfIdempotent(now, c, ev)
 	case ResultDeadline:
 		r.reject(c, CauseTimedOut, 0)
-	case ResultAbandoned:
+	case ResultCallerGone:
 		r.reject(c, CauseAnswerLost, 0)
 	}
 }
