--- a/engine/options.go
+++ b/engine/options.go
@@ -80,6 +80,6 @@
 	o.Member.Addr = o.Addr
 	o.Member.Seed = o.Seed
 	o.Request.Zone = o.Zone
-	o.Request.Remember = 2 * o.MaxRequestTime // a request, and as long again for a message in flight
+	o.Request.ForwardedIDTTL = 2 * o.MaxRequestTime // a request, and as long again for a message in flight
 	return o
 }
--- a/request/router.go
+++ b/request/router.go
@@ -27,10 +27,10 @@
 	MaxTries   int           // sends of one request; default 3
 	MaxHops    int           // forwards of one request; default 2
 	PeerTTL    time.Duration // how long a peer's report is valid; default 3 s
-	// Remember is how long the ID of a forwarded request is kept. It must be at
+	// ForwardedIDTTL is how long the ID of a forwarded request is kept. It must be at
 	// least the maximum lifetime of a request, including its time on the
 	// network; default 2 min.
-	Remember time.Duration
+	ForwardedIDTTL time.Duration
 }
 
 // Defaults of Options.
@@ -85,11 +85,11 @@
 	if opts.PeerTTL <= 0 {
 		opts.PeerTTL = defaultPeerTTL
 	}
-	if opts.Remember <= 0 {
-		opts.Remember = defaultRemember
+	if opts.ForwardedIDTTL <= 0 {
+		opts.ForwardedIDTTL = defaultRemember
 	}
 	return &Router{
-		forwardedIDs: newIDCache(opts.Remember),
+		forwardedIDs: newIDCache(opts.ForwardedIDTTL),
 		opts:         opts,
 		byID:         map[ident.WorkerID]*worker{},
 		calls:        map[ident.TaskID]*call{},
