--- a/request/message.go
+++ b/request/message.go
@@ -33,8 +33,8 @@
 	Occupied int64
 }
 
-// WorkerOccupancy updates the number of slots in use by calls of an earlier lease
-// holder.
+// WorkerOccupancy updates the number of slots in use by calls of an earlier
+// lease holder.
 type WorkerOccupancy struct {
 	Worker   ident.WorkerID
 	Occupied int64
--- a/request/router.go
+++ b/request/router.go
@@ -27,19 +27,19 @@
 	MaxTries   int           // sends of one request; default 3
 	MaxHops    int           // forwards of one request; default 2
 	PeerTTL    time.Duration // how long a peer's report is valid; default 3 s
-	// ForwardedIDTTL is how long the ID of a forwarded request is kept. It must be at
-	// least the maximum lifetime of a request, including its time on the
+	// ForwardedIDTTL is how long the ID of a forwarded request is kept. It must
+	// be at least the maximum lifetime of a request, including its time on the
 	// network; default 2 min.
 	ForwardedIDTTL time.Duration
 }
 
 // Defaults of Options.
 const (
-	defaultMaxWaiting = 512
-	defaultMaxTries   = 3
-	defaultMaxHops    = 2
-	defaultPeerTTL    = 3 * time.Second
-	defaultRemember   = 2 * time.Minute
+	defaultMaxWaiting     = 512
+	defaultMaxTries       = 3
+	defaultMaxHops        = 2
+	defaultPeerTTL        = 3 * time.Second
+	defaultForwardedIDTTL = 2 * time.Minute
 )
 
 // UnitsOfRequest is the number of units of its team's limit that one request
@@ -86,7 +86,7 @@
 		opts.PeerTTL = defaultPeerTTL
 	}
 	if opts.ForwardedIDTTL <= 0 {
-		opts.ForwardedIDTTL = defaultRemember
+		opts.ForwardedIDTTL = defaultForwardedIDTTL
 	}
 	return &Router{
 		forwardedIDs: newIDCache(opts.ForwardedIDTTL),
@@ -114,7 +114,7 @@
 	case WorkerReady:
 		r.workerReady(ev)
 	case WorkerOccupancy:
-		r.workerFreed(ev)
+		r.workerOccupancy(ev)
 	case WorkerGone:
 		r.workerGone(ev.Worker)
 	case WorkerLeaving:
--- a/request/workers.go
+++ b/request/workers.go
@@ -23,7 +23,7 @@
 	w.occupied = ev.Occupied
 }
 
-func (r *Router) workerFreed(ev WorkerOccupancy) {
+func (r *Router) workerOccupancy(ev WorkerOccupancy) {
 	if w, ok := r.byID[ev.Worker]; ok {
 		w.occupied = ev.Occupied
 	}
