--- a/request/step.go
+++ b/request/step.go
@@ -6,15 +6,16 @@
 	"github.com/fireflyfold/fireflyfold/ident"
 )
 
-// serviceGain is the weight of a new sample in the average service time.
-const serviceGain = 0.05
+// serviceTimeGain is the weight of a new sample in the moving average of the
+// service time.
+const serviceTimeGain = 0.05
 
-// minRetryAfter is the shortest advice to come back.
+// minRetryAfter is the shortest delay after which a caller is advised to retry.
 const minRetryAfter = 100 * time.Millisecond
 
 func (r *Router) admit(now time.Duration, ev Admitted) {
-	c := &call{Admitted: ev, at: now}
-	if ev.Hops > 0 && r.taken.full() {
+	c := &call{Admitted: ev, admittedAt: now}
+	if ev.Hops > 0 && r.forwardedIDs.full() {
 		r.emit(Reject{ID: ev.ID, Cause: &RejectedError{Cause: CauseOverload, RetryAfter: minRetryAfter}})
 		return
 	}
@@ -33,7 +34,8 @@
 	}
 }
 
-// duplicate returns why an identifier that was taken before is rejected, or "".
+// duplicate returns the cause for rejecting a request whose ID was received
+// before, or "" if the ID is new.
 func (r *Router) duplicate(now time.Duration, ev Admitted) Cause {
 	if _, running := r.calls[ev.ID]; running {
 		return CauseDuplicate
@@ -41,18 +43,19 @@
 	if ev.Hops == 0 {
 		return ""
 	}
-	switch r.taken.take(now, ev.ID) {
-	case takenAway:
+	switch r.forwardedIDs.add(now, ev.ID) {
+	case idAdmitted:
 		return CauseDuplicate
-	case takenRefused:
+	case idRefused:
 		return CauseOverload
 	}
 	return ""
 }
 
-// enqueue lets c wait, unless too much waits already. The bound is shared in
-// proportion to weight among the teams that wait, so that one team's flood is
-// refused at its own part and leaves the others theirs.
+// enqueue adds c to the queue of its team. It rejects c if the queue is full or
+// the expected wait exceeds the deadline. MaxWaiting is divided by weight among
+// the teams with waiting calls, so a team that floods the host is refused at
+// its own share and leaves the others theirs.
 func (r *Router) enqueue(now time.Duration, c *call) {
 	q := r.team(c.Team)
 	if q.waiting >= r.waitingShare(q) || r.waiting >= r.opts.MaxWaiting {
@@ -67,12 +70,12 @@
 	r.waiting++
 }
 
-// waitingShare is the number of calls that team q may have waiting: its part
-// of the bound by weight among the teams that wait, or half of what is left
-// when nobody else does.
+// waitingShare returns how many calls team q may have waiting: its share of
+// MaxWaiting by weight among the teams with waiting calls, or half of
+// MaxWaiting if no other team has any.
 func (r *Router) waitingShare(q *teamQueue) int {
 	total := q.weight
-	for _, other := range r.order {
+	for _, other := range r.sortedTeams {
 		if other != q && other.waiting > 0 {
 			total += other.weight
 		}
@@ -83,7 +86,7 @@
 	return max(r.opts.MaxWaiting*int(q.weight)/int(max(total, 1)), 1)
 }
 
-// expectedWait estimates how long one more call of q waits.
+// expectedWait estimates the wait of one more call of q.
 func (r *Router) expectedWait(q *teamQueue) time.Duration {
 	slots := int64(0)
 	for _, w := range r.workers {
@@ -91,28 +94,28 @@
 			slots += w.slots
 		}
 	}
-	if slots == 0 || r.service == 0 {
+	if slots == 0 || r.avgServiceTime == 0 {
 		return 0
 	}
-	return time.Duration(float64(q.waiting+1) * r.service / float64(slots) * float64(time.Second))
+	return time.Duration(float64(q.waiting+1) * r.avgServiceTime / float64(slots) * float64(time.Second))
 }
 
 func (r *Router) retryAfter(q *teamQueue) time.Duration {
 	return max(r.expectedWait(q), minRetryAfter)
 }
 
-// start places c on a worker of this host or on a peer, and reports false if c
-// must wait.
+// start dispatches c to a worker of this host or forwards it to a peer. It
+// returns false if c must wait.
 func (r *Router) start(now time.Duration, c *call) bool {
-	w := r.pick(now, c)
+	w := r.pickWorker(now, c)
 	if w != nil && r.opts.Limits.TryUse(c.Team, UnitsOfRequest) {
 		r.dispatch(now, c, w)
 		return true
 	}
 	if w != nil {
-		r.emit(Want{Team: c.Team, Units: UnitsOfRequest + int64(r.team(c.Team).waiting)})
+		r.emit(NeedUnits{Team: c.Team, Units: UnitsOfRequest + int64(r.team(c.Team).waiting)})
 	}
-	if p := r.spill(now, c); p != nil {
+	if p := r.pickPeer(now, c); p != nil {
 		r.forward(now, c, p)
 		return true
 	}
@@ -120,7 +123,7 @@
 }
 
 func (r *Router) dispatch(now time.Duration, c *call, w *worker) {
-	c.units = true
+	c.holdsUnit = true
 	r.team(c.Team).inFlight++
 	w.begin()
 	c.tries++
@@ -139,10 +142,10 @@
 	r.emit(Forward{ID: c.ID, Peer: p.Host, Try: c.tries})
 }
 
-// drain starts waiting calls while there is room: the team with the least in
-// flight for its weight first. A team whose head cannot start is passed over,
-// so that one at its limit does not hold up the others.
-func (r *Router) drain(now time.Duration) {
+// startWaiting starts waiting calls while there is free capacity, the team with
+// the fewest calls in flight for its weight first. A team whose first call
+// cannot start is skipped, so a team at its limit does not block the others.
+func (r *Router) startWaiting(now time.Duration) {
 	if r.waiting == 0 {
 		return
 	}
@@ -157,27 +160,28 @@
 			blocked[q.team] = true
 			continue
 		}
-		q.leave(c)
+		q.dequeue(c)
 		r.waiting--
 	}
 }
 
 func (r *Router) nextTeam(blocked map[ident.TeamID]bool) *teamQueue {
 	var best *teamQueue
-	for _, q := range r.order {
+	for _, q := range r.sortedTeams {
 		if blocked[q.team] || q.head() == nil {
 			continue
 		}
-		if best == nil || q.pressure() < best.pressure() {
+		if best == nil || q.usagePerWeight() < best.usagePerWeight() {
 			best = q
 		}
 	}
 	return best
 }
 
-// expire rejects waiting calls whose deadline passed. They never ran.
+// expire rejects waiting calls whose deadline has passed. They did not run,
+// unless an earlier try did.
 func (r *Router) expire(now time.Duration) {
-	for _, q := range r.order {
+	for _, q := range r.sortedTeams {
 		for _, c := range q.calls {
 			if c.waiting && now >= c.Deadline {
 				r.reject(c, r.waitCause(c), r.retryAfter(q))
@@ -186,7 +190,7 @@
 	}
 }
 
-// waitCause names what a call that ran out of time was waiting for.
+// waitCause returns the cause for a call whose deadline passed while it waited.
 func (r *Router) waitCause(c *call) Cause {
 	for _, w := range r.workers {
 		if !w.leaving && w.serves(c.Service) {
@@ -201,52 +205,54 @@
 
 func (r *Router) cancel(id ident.TaskID) {
 	if c, ok := r.calls[id]; ok && c.waiting {
-		r.reject(c, CauseGone, 0)
+		r.reject(c, CauseCallerGone, 0)
 	}
 }
 
-// finished decides what follows the end of a dispatch or forward.
+// finished ends a call after its dispatch or forward ended, or tries it again.
 func (r *Router) finished(now time.Duration, ev Finished) {
 	c, ok := r.calls[ev.ID]
 	if !ok || (c.worker == "" && c.peer == "") {
 		return
 	}
 	forwarded := c.peer != ""
-	r.settle(now, c, ev)
+	r.endTry(now, c, ev)
 	switch ev.Result {
 	case ResultAnswered:
 		r.complete(c, ev)
 	case ResultNotRun:
-		r.again(now, c, ev, CauseOverload, forwarded)
+		r.retry(now, c, ev, CauseOverload, forwarded)
 	case ResultFailed, ResultUncertain:
-		r.maybeRan(now, c, ev)
+		r.retryIfIdempotent(now, c, ev)
 	case ResultDeadline:
 		r.reject(c, CauseTimedOut, 0)
-	case ResultAbandoned:
-		r.reject(c, CauseLost, 0)
+	case ResultCallerGone:
+		r.reject(c, CauseAnswerLost, 0)
 	}
 }
 
-// settle returns the slot and the unit of the try that ended.
-func (r *Router) settle(now time.Duration, c *call, ev Finished) {
+// endTry releases the slot and the unit of a try that ended and updates the
+// health of its worker.
+func (r *Router) endTry(now time.Duration, c *call, ev Finished) {
 	took := now - c.sentAt
 	if w, ok := r.byID[c.worker]; ok {
-		w.finish(now, took, unhealthy(ev))
+		w.finish(now, took, countsAsFailure(ev))
 	}
 	if ev.Result == ResultAnswered && c.worker != "" {
-		r.service += serviceGain * (took.Seconds() - r.service)
+		r.avgServiceTime += serviceTimeGain * (took.Seconds() - r.avgServiceTime)
 	}
 	if ev.Result == ResultNotRun && c.peer != "" {
-		c.refusers = append(c.refusers, c.peer)
+		c.refusedBy = append(c.refusedBy, c.peer)
 	}
 	c.avoid = c.worker
 	c.worker = ""
 	c.peer = ""
-	r.releaseUnits(c)
+	r.releaseUnit(c)
 }
 
-// unhealthy reports whether a try speaks against its worker.
-func unhealthy(ev Finished) bool {
+// countsAsFailure reports whether the result of a try counts as a failure of
+// its worker.
+func countsAsFailure(ev Finished) bool {
 	switch ev.Result {
 	case ResultFailed, ResultUncertain:
 		return true
@@ -261,30 +267,30 @@
 	if !ev.ServerFail {
 		r.budget(c.Service).earn()
 	}
-	r.forget(c)
+	r.remove(c)
 	r.emit(Complete{ID: c.ID})
 }
 
-// maybeRan handles a try that may have run. A non-idempotent request is never
-// sent again: its first run may still take effect, and a second would double
-// it. Its caller learns that the outcome is unknown.
-func (r *Router) maybeRan(now time.Duration, c *call, ev Finished) {
+// retryIfIdempotent handles a try that may have run. A non-idempotent request
+// is never sent again: its first run may still take effect, and a second run
+// would apply it twice. Its caller gets the outcome "unknown".
+func (r *Router) retryIfIdempotent(now time.Duration, c *call, ev Finished) {
 	if c.NonIdempotent || ev.Committed {
-		r.reject(c, CauseLost, 0)
+		r.reject(c, CauseAnswerLost, 0)
 		return
 	}
-	c.mayRun = true
-	r.again(now, c, ev, CauseFailed, false)
+	c.mayHaveRun = true
+	r.retry(now, c, ev, CauseFailed, false)
 }
 
-// again tries c once more if its tries, its deadline and the budget allow it.
-// A peer's refusal is free: it cost no upstream anything.
-func (r *Router) again(now time.Duration, c *call, ev Finished, cause Cause, free bool) {
+// retry sends c again if MaxTries, its deadline and the retry budget allow it.
+// skipBudget is set for a peer's refusal, which puts no load on an upstream.
+func (r *Router) retry(now time.Duration, c *call, ev Finished, cause Cause, skipBudget bool) {
 	if c.tries >= r.opts.MaxTries || now >= c.Deadline || ev.Committed {
 		r.reject(c, cause, max(ev.RetryAfter, minRetryAfter))
 		return
 	}
-	if !free && !r.budget(c.Service).spend() {
+	if !skipBudget && !r.budget(c.Service).spend() {
 		r.reject(c, cause, max(ev.RetryAfter, minRetryAfter))
 		return
 	}
