--- a/host/election.go
+++ b/host/election.go
@@ -174,7 +174,7 @@
 		if e.leadership != nil && e.leadershipFence < e.fence {
 			e.leadership.StepDown(e.fence)
 		}
-		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leadership claim read")
+		e.host.log.WithFields(logrus.Fields{"leader": c.Host, "fence": e.fence}).Info("leader claimed")
 		select {
 		case e.claimRead <- struct{}{}:
 		default:
@@ -473,5 +473,5 @@
 			return
 		}
 	}
-	e.host.log.WithField("fence", fence).Info("no host took over the leadership")
+	e.host.log.WithField("fence", fence).Info("nobody to hand over to")
 }
--- a/host/peers.go
+++ b/host/peers.go
@@ -119,7 +119,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-var errLogUnreachable = errors.New("this host cannot reach the log")
+var errLogUnreachable = errors.New("this host does not reach the log")
 
 // Config implements hostrpc.HelperHandler. It returns the version and age of the
 // configuration, and the configuration itself if it is newer than the caller's. It
--- a/leader/load.go
+++ b/leader/load.go
@@ -129,7 +129,7 @@
 		case platform.Fenced(err):
 			return 0, &LeadershipLostError{Why: "a later leader has fenced off this one"}
 		}
-		l.cfg.Log.WithError(err).WithField("part", part).Warn("cannot fence off a partition of the log; retrying")
+		l.cfg.Log.WithError(err).WithField("part", part).Warn("fence not written yet")
 		if !boottime.Sleep(ctx, readRetryDelay) {
 			return 0, ctx.Err()
 		}
