--- a/ident/ident.go
+++ b/ident/ident.go
@@ -1,10 +1,10 @@
-// Package ident defines the identifiers that travel between processes: zones,
-// hosts, workers, teams, jobs and tasks.
+// Package ident defines the identifiers that processes exchange: availability
+// zones, hosts, workers, teams, services, jobs and tasks.
 //
-// A task identifier is minted before the task may run, by the process that
-// accepts it, and names that process: its availability zone, its host and its
-// incarnation. Only that incarnation may start the task, so a process that
-// restarts can never start a task of its former self a second time.
+// The process that accepts a task generates its identifier before the task may
+// run. The identifier contains the availability zone, host and incarnation of
+// that process. Only that incarnation may start the task, so after a restart
+// the process cannot start a task of its earlier incarnation a second time.
 package ident
 
 import (
@@ -16,10 +16,10 @@
 // Zone names an availability zone.
 type Zone string
 
-// HostID names an entry host, as configured in its settings.
+// HostID names an entry host. It is set in the settings of the host.
 type HostID string
 
-// WorkerID names a worker as listed by the platform.
+// WorkerID names a worker. It is the name in the platform's worker list.
 type WorkerID string
 
 // TeamID names a team.
@@ -28,12 +28,12 @@
 // ServiceID names a declared service whose replicas answer requests.
 type ServiceID string
 
-// Incarnation tells two lives of one host apart. It is drawn at process start
-// and is never zero for a live process.
+// Incarnation distinguishes successive processes of one host. It is generated
+// at process start and is never zero for a running process.
 type Incarnation uint64
 
-// Holder is one life of one host: the party that leases are granted to and
-// that holds limit units.
+// Holder is one incarnation of one host. Leases are granted to a holder, and
+// limit units are held by one.
 type Holder struct {
 	Host        HostID      `json:"host"`
 	Incarnation Incarnation `json:"incarnation"`
@@ -42,12 +42,13 @@
 // IsZero reports whether h names no holder.
 func (h Holder) IsZero() bool { return h == Holder{} }
 
-// String renders the holder as "host~incarnation".
+// String returns the holder as "host~incarnation".
 func (h Holder) String() string {
 	return string(h.Host) + "~" + strconv.FormatUint(uint64(h.Incarnation), 36)
 }
 
-// TaskID identifies a task or a job over the whole fleet and for all time.
+// TaskID identifies a task or a job. It is unique across all hosts and is never
+// reused.
 type TaskID struct {
 	Zone        Zone        `json:"zone"`
 	Host        HostID      `json:"host"`
@@ -55,20 +56,21 @@
 	Seq         uint64      `json:"seq"`
 }
 
-// JobID identifies a durable job; tasks of the job are numbered below it.
+// JobID identifies a durable job. AttemptID numbers the tasks of the job.
 type JobID = TaskID
 
-// taskIDParts is the number of dot-separated parts of a rendered TaskID.
+// taskIDParts is the number of dot-separated parts in the text form of a
+// TaskID.
 const taskIDParts = 4
 
 // IsZero reports whether id names no task.
 func (id TaskID) IsZero() bool { return id == TaskID{} }
 
-// Holder returns the life of the host that minted the identifier.
+// Holder returns the incarnation of the host that generated the identifier.
 func (id TaskID) Holder() Holder { return Holder{Host: id.Host, Incarnation: id.Incarnation} }
 
-// String renders the identifier as "zone.host.incarnation.seq", the last two
-// in base 36.
+// String returns the identifier as "zone.host.incarnation.seq", with the last
+// two parts in base 36.
 func (id TaskID) String() string {
 	return string(id.Zone) + "." + string(id.Host) + "." +
 		strconv.FormatUint(uint64(id.Incarnation), 36) + "." +
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// MalformedIDError reports text that is no task identifier.
+// MalformedIDError reports text that is not a valid task or attempt identifier.
 type MalformedIDError struct {
 	Text string
 }
@@ -98,7 +100,7 @@
 	return fmt.Sprintf("malformed identifier %q: want zone.host.incarnation.seq", e.Text)
 }
 
-// ParseTaskID parses the form that TaskID.String renders. It returns a
+// ParseTaskID parses the form that TaskID.String returns. It returns a
 // *MalformedIDError for anything else.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
@@ -116,23 +118,25 @@
 	return TaskID{Zone: Zone(parts[0]), Host: HostID(parts[1]), Incarnation: Incarnation(inc), Seq: seq}, nil
 }
 
-// AttemptID identifies one attempt to run one task of a job: index counts the
-// tasks of the job from zero, attempt counts the tries of that task from one.
+// AttemptID identifies one attempt to run one task of a job. Index numbers the
+// tasks of the job from zero. Attempt numbers the attempts of that task from
+// one.
 type AttemptID struct {
 	Job     JobID `json:"job"`
 	Index   int   `json:"index"`
 	Attempt int   `json:"attempt"`
 }
 
-// String renders the attempt as "job/index/attempt".
+// String returns the attempt as "job/index/attempt".
 func (a AttemptID) String() string {
 	return a.Job.String() + "/" + strconv.Itoa(a.Index) + "/" + strconv.Itoa(a.Attempt)
 }
 
-// attemptParts is the number of slash-separated parts of a rendered AttemptID.
+// attemptParts is the number of slash-separated parts in the text form of an
+// AttemptID.
 const attemptParts = 3
 
-// ParseAttemptID parses the form that AttemptID.String renders. It returns a
+// ParseAttemptID parses the form that AttemptID.String returns. It returns a
 // *MalformedIDError for anything else.
 func ParseAttemptID(text string) (AttemptID, error) {
 	parts := strings.Split(text, "/")
--- a/ident/name.go
+++ b/ident/name.go
@@ -1,14 +1,14 @@
 package ident
 
-// MaxNameLen is the greatest length of a name, in bytes.
+// MaxNameLen is the maximum length of a name, in bytes.
 const MaxNameLen = 63
 
-// NameRule says in words what ValidName accepts.
+// NameRule describes the names that ValidName accepts, for error messages.
 const NameRule = "1 to 63 lower-case letters, digits and hyphens, starting with a letter or digit"
 
 // ValidName reports whether text may name a zone, host, worker, team, service
-// or key. The characters that separate the parts of rendered identifiers
-// (".", "/", "~") are not allowed, so that an identifier parses in one way only.
+// or key. The separators of the text forms of identifiers (".", "/", "~") are
+// not allowed, because they would make parsing ambiguous.
 func ValidName(text string) bool {
 	if text == "" || len(text) > MaxNameLen || text[0] == '-' {
 		return false
