--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,5 +1,6 @@
-// Package resource counts what workers hold and tasks need, in exact integer
-// units, so that no sequence of reservations and releases can round.
+// Package resource represents the resources that workers provide and tasks
+// need. Amounts are integers, so reservations and releases cause no rounding
+// errors.
 package resource
 
 import (
@@ -7,8 +8,8 @@
 	"strings"
 )
 
-// Vector is an amount of every resource. Processors are in thousandths of a
-// core, memory in MiB; the others are counts.
+// Vector is an amount of each resource. MilliCPU is in thousandths of a core
+// and MemoryMiB in MiB; the others are counts.
 type Vector struct {
 	MilliCPU     int64 `json:"milli_cpu,omitempty"`
 	MemoryMiB    int64 `json:"memory_mib,omitempty"`
@@ -17,7 +18,8 @@
 	Connections  int64 `json:"connections,omitempty"`
 }
 
-// Request is what one request occupies on a worker while it is in flight.
+// Request is the amount that one request uses on a worker while it is in
+// flight.
 var Request = Vector{Slots: 1, Connections: 1}
 
 // Add returns v + o.
@@ -53,13 +55,13 @@
 	}
 }
 
-// Fits reports whether v is at most room in every component.
-func (v Vector) Fits(room Vector) bool {
-	return v.MilliCPU <= room.MilliCPU &&
-		v.MemoryMiB <= room.MemoryMiB &&
-		v.Accelerators <= room.Accelerators &&
-		v.Slots <= room.Slots &&
-		v.Connections <= room.Connections
+// Fits reports whether v is at most available in every component.
+func (v Vector) Fits(available Vector) bool {
+	return v.MilliCPU <= available.MilliCPU &&
+		v.MemoryMiB <= available.MemoryMiB &&
+		v.Accelerators <= available.Accelerators &&
+		v.Slots <= available.Slots &&
+		v.Connections <= available.Connections
 }
 
 // IsZero reports whether every component is zero.
@@ -70,9 +72,9 @@
 	return v.MilliCPU < 0 || v.MemoryMiB < 0 || v.Accelerators < 0 || v.Slots < 0 || v.Connections < 0
 }
 
-// Dominant returns the largest fraction of total that v takes in any
-// component, between 0 and 1 when v fits total. Components that total does not
-// hold are ignored. It is the dominant share of dominant resource fairness.
+// Dominant returns the dominant share of v, as in dominant resource fairness:
+// the largest fraction of total that v uses in any component. It is between 0
+// and 1 if v fits total. Components that are zero or less in total are ignored.
 func (v Vector) Dominant(total Vector) float64 {
 	share := 0.0
 	for _, pair := range [...][2]int64{
@@ -90,17 +92,17 @@
 	return share
 }
 
-// milliPerCPU is the number of milli-processors in one processor.
 const milliPerCPU = 1000
 
-// LimitUnits returns how many units of a team's upper limit a task with need v
-// uses while it runs: one for each processor begun, and at least one. A request
-// uses one unit.
+// LimitUnits returns how many units of a team's upper limit a task that needs v
+// uses while it runs: its cores, rounded up, and at least one. A request uses
+// one unit.
 func LimitUnits(v Vector) int64 {
 	return max(1, (v.MilliCPU+milliPerCPU-1)/milliPerCPU)
 }
 
-// String lists the non-zero components with their units.
+// String returns the non-zero components with their units, separated by commas,
+// or "nothing" if all are zero.
 func (v Vector) String() string {
 	var parts []string
 	add := func(n int64, unit string) {
