--- a/work/work.go
+++ b/work/work.go
@@ -1,5 +1,5 @@
-// Package work defines what callers hand in and what they get back: job
-// specifications, the kinds of work, and the three possible outcomes.
+// Package work defines job specifications, the kinds of work, and the three
+// outcomes that callers receive.
 package work
 
 import (
@@ -13,12 +13,12 @@
 // Kind is the policy class of a job.
 type Kind string
 
-// The kinds of work. Requests are not jobs: they take the request path and
-// occupy a slot for as long as their answer takes.
+// The kinds of work. Requests are not jobs: they are dispatched on the request
+// path and use a slot until their response ends.
 const (
-	KindBatch   Kind = "batch"   // tasks that end; each placed on its own
-	KindGang    Kind = "gang"    // all tasks start together or none does
-	KindService Kind = "service" // replicas that are kept at their count
+	KindBatch   Kind = "batch"   // tasks that run to completion, each placed separately
+	KindGang    Kind = "gang"    // all tasks start together, or none starts
+	KindService Kind = "service" // replicas kept at the configured count
 	KindRequest Kind = "request" // answered while the caller waits
 )
 
@@ -31,8 +31,8 @@
 	return false
 }
 
-// Spec describes a durable job as accepted. Durations are relative to the
-// moment of acceptance.
+// Spec describes a durable job as accepted. Durations are relative to the time
+// of acceptance.
 type Spec struct {
 	Kind  Kind            `json:"kind"`
 	Team  ident.TeamID    `json:"team"`
@@ -40,27 +40,27 @@
 	Need  resource.Vector `json:"need"`            // of each task
 	Tasks int             `json:"tasks"`           // at least one
 	Run   time.Duration   `json:"run,omitempty"`   // declared run time of a task; zero if unknown
-	Limit time.Duration   `json:"limit,omitempty"` // a task is stopped after this; zero for none
+	Limit time.Duration   `json:"limit,omitempty"` // maximum run time of a task, which is then stopped; zero for none
 
-	Deadline      time.Duration `json:"deadline,omitempty"` // not started later than this; zero for none
-	Urgent        bool          `json:"urgent,omitempty"`   // may displace displaceable tasks
+	Deadline      time.Duration `json:"deadline,omitempty"` // latest start; zero for none
+	Urgent        bool          `json:"urgent,omitempty"`   // may preempt displaceable tasks
 	Displaceable  bool          `json:"displaceable,omitempty"`
-	NonIdempotent bool          `json:"non_idempotent,omitempty"` // never attempted twice
+	NonIdempotent bool          `json:"non_idempotent,omitempty"` // at most one attempt
 	MaxAttempts   int           `json:"max_attempts,omitempty"`   // at least one; one if NonIdempotent
 
 	Service ident.ServiceID `json:"service,omitempty"` // for KindService
-	Payload string          `json:"payload,omitempty"` // opaque to the scheduler, handed to the worker
+	Payload string          `json:"payload,omitempty"` // passed to the worker; opaque to the scheduler
 }
 
-// Outcome tells a caller whether its work ran. The zero value is invalid, so a
-// path that forgets to decide is caught by Valid.
+// Outcome tells a caller whether its work ran. The zero value is invalid, so
+// Valid detects a code path that sets no outcome.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeRan     Outcome = iota + 1 // ran to its end; the answer is whole
-	OutcomeNotRun                     // truly did not run; safe to repeat
-	OutcomeUnknown                    // may have run; must not be repeated blindly
+	OutcomeRan     Outcome = iota + 1 // ran to completion; the response is complete
+	OutcomeNotRun                     // certainly did not run; safe to retry
+	OutcomeUnknown                    // may have run; a retry may run the work twice
 )
 
 var outcomeNames = map[Outcome]string{
@@ -72,7 +72,7 @@
 // Valid reports whether o is one of the three outcomes.
 func (o Outcome) Valid() bool { return o >= OutcomeRan && o <= OutcomeUnknown }
 
-// String returns the outcome as callers see it.
+// String returns the outcome as it is sent to callers.
 func (o Outcome) String() string {
 	if name, ok := outcomeNames[o]; ok {
 		return name
@@ -94,7 +94,7 @@
 	return &InvalidOutcomeError{Text: string(text)}
 }
 
-// InvalidOutcomeError reports text that names no outcome.
+// InvalidOutcomeError reports text that is not the name of an outcome.
 type InvalidOutcomeError struct {
 	Text string
 }
