--- a/wanted/wanted_test.go
+++ b/wanted/wanted_test.go
@@ -15,7 +15,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func TestExamples(t *testing.T) {
+func TestExampleFilesLoadAndGiveAPlan(t *testing.T) {
 	for _, file := range []string{"rosenau.ini", "sabzkhata.ini"} {
 		got, err := Load("../deploy/wanted/" + file)
 		if err != nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// A file with mistakes is refused whole and names all of them at once, so that
-// half of what an operator wants is never planned.
-func TestEveryBadFieldIsNamed(t *testing.T) {
+// A file with invalid fields is rejected as a whole, so that no plan covers only
+// part of it. The error lists all invalid fields.
+func TestErrorListsEveryInvalidField(t *testing.T) {
 	_, err := Parse("f", []byte(`
 stray = 1
 [team]
