--- a/serve/serve.go
+++ b/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve is the command that runs one entry host until it is told to
-// stop.
+// Package serve implements the command that runs one entry host until a signal
+// stops it.
 package serve
 
 import (
@@ -62,7 +62,8 @@
 	return subcommands.ExitSuccess
 }
 
-// run lets the host live, and live again when a life of it is over.
+// run runs incarnations of the host in turn. It starts the next one when a run
+// ends with an *entry.ReincarnateError and returns any other result.
 func run(ctx context.Context, s *settings.Settings) error {
 	tel, err := telemetry.New(ctx, telemetry.Options{
 		Service:   "fireflyfold",
@@ -78,16 +79,16 @@
 	}
 	defer func() { _ = tel.Close(context.WithoutCancel(ctx)) }()
 	for {
-		err := live(ctx, s, tel)
-		var over *entry.ReincarnateError
-		if !errors.As(err, &over) {
+		err := runIncarnation(ctx, s, tel)
+		var reincarnate *entry.ReincarnateError
+		if !errors.As(err, &reincarnate) {
 			return err
 		}
 	}
 }
 
-// live runs one life of the host.
-func live(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
+// runIncarnation runs one incarnation of the host.
+func runIncarnation(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
 	host, err := entry.New(entry.WithPlatform(entry.Options{Settings: s, Telemetry: tel}))
 	if err != nil {
 		return err
@@ -106,8 +107,8 @@
 	return err
 }
 
-// drainOnSignal begins the planned stop at the first signal and cuts it short
-// at the second.
+// drainOnSignal drains the host at the first signal and stops it without further
+// delay at the second, by calling cancel. It returns when stopped is closed.
 func drainOnSignal(signals <-chan os.Signal, stopped <-chan struct{}, host *entry.Host, cancel context.CancelFunc) {
 	select {
 	case <-signals:
