--- a/problem/classes.go
+++ b/problem/classes.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// class is what all problems of one type share.
+// class is the status and title that all problems of one type have.
 type class struct {
 	status int
 	title  string
--- a/problem/problem_test.go
+++ b/problem/problem_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Story: a path in the code forgets to decide whether the work ran. The caller
-// must not read that it did not: a repeat could run it a second time.
-func TestForgottenOutcomeIsUnknown(t *testing.T) {
+// A code path that sets no outcome may have run the work. If the caller received
+// "not run", it could retry and run the work a second time.
+func TestUnsetOutcomeIsSentAsUnknown(t *testing.T) {
 	w := httptest.NewRecorder()
 	Write(w, &Problem{Type: TypeBusy, Status: http.StatusServiceUnavailable})
 	var got Problem
@@ -44,10 +44,10 @@
 }
 
 func TestEveryTypeHasItsClass(t *testing.T) {
-	for class, c := range classes {
-		p := NotRun(class, "")
+	for typ, c := range classes {
+		p := NotRun(typ, "")
 		if p.Status != c.status || p.Status < 400 || p.Title == "" {
-			t.Errorf("%s: %+v", class, p)
+			t.Errorf("%s: %+v", typ, p)
 		}
 	}
 	if p := NotRun("urn:other", ""); p.Status != http.StatusInternalServerError {
