--- a/stream/appender.go
+++ b/stream/appender.go
@@ -6,66 +6,69 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// Appender keeps at most one append open and spaces them.
+// Appender limits a stream to one append in flight, spaces appends by an
+// interval and backs off after failures.
 type Appender struct {
 	Stream ports.Stream
-	Retry  time.Duration // before the next append after a failure, doubled with each further one
+	Retry  time.Duration // backoff after a failure; doubled with each further one in a row
 
-	tag    Tag
-	open   bool
-	sentAt time.Duration
-	sent   bool // any append so far
-	holdTo time.Duration
-	fails  int // in a row
+	tag      Tag
+	inFlight bool
+	sentAt   time.Duration
+	sent     bool // an append has been sent
+	retryAt  time.Duration
+	failures int // in a row
 }
 
-// mostDoublings bounds how the pause after failures grows: to 16 times Retry.
-const mostDoublings = 4
+// maxDoublings limits the backoff after failures to 16 times Retry.
+const maxDoublings = 4
 
-// Ready reports whether a group may be sent now, at least interval after the
-// one before.
+// Ready reports whether an append may be sent now: none is in flight, the
+// backoff is over, and interval has passed since the last one was sent.
 func (a *Appender) Ready(now, interval time.Duration) bool {
-	if a.open || now < a.holdTo {
+	if a.inFlight || now < a.retryAt {
 		return false
 	}
 	return !a.sent || now >= a.sentAt+interval
 }
 
-// Send opens an append.
+// Send returns the command that appends the group, and records it as in flight.
 func (a *Appender) Send(now time.Duration, group [][]byte) Append {
 	a.tag++
-	a.open = true
+	a.inFlight = true
 	a.sent = true
 	a.sentAt = now
 	return Append{Stream: a.Stream, Tag: a.tag, Group: group}
 }
 
-// Open reports whether an append is open.
-func (a *Appender) Open() bool { return a.open }
+// Open reports whether an append is in flight.
+func (a *Appender) Open() bool { return a.inFlight }
 
-// Done takes the success of an append and reports whether it was the open one.
+// Done handles the success of an append and resets the backoff. It returns
+// false, and changes nothing, if tag is not that of the append in flight.
 func (a *Appender) Done(tag Tag) bool {
-	if !a.close(tag) {
+	if !a.complete(tag) {
 		return false
 	}
-	a.fails = 0
+	a.failures = 0
 	return true
 }
 
-func (a *Appender) close(tag Tag) bool {
-	if !a.open || tag != a.tag {
+func (a *Appender) complete(tag Tag) bool {
+	if !a.inFlight || tag != a.tag {
 		return false
 	}
-	a.open = false
+	a.inFlight = false
 	return true
 }
 
-// Failed takes the failure of an append and reports whether it was the open one.
+// Failed handles the failure of an append and starts the backoff. It returns
+// false, and changes nothing, if tag is not that of the append in flight.
 func (a *Appender) Failed(now time.Duration, tag Tag) bool {
-	if !a.close(tag) {
+	if !a.complete(tag) {
 		return false
 	}
-	a.holdTo = now + a.Retry<<min(a.fails, mostDoublings)
-	a.fails++
+	a.retryAt = now + a.Retry<<min(a.failures, maxDoublings)
+	a.failures++
 	return true
 }
--- a/stream/probe.go
+++ b/stream/probe.go
@@ -2,39 +2,43 @@
 
 import "github.com/fireflyfold/fireflyfold/ports"
 
-// Finder recognises, in records read back from the end of a stream, a position
-// from which a reader finds the whole state.
+// Finder finds, among records at the end of a stream, a position from which
+// replay restores the whole state.
 type Finder interface {
-	// Note takes a record; first is the oldest offset that is retained. Records
-	// come in rising order within a span, and a span may repeat earlier ones.
+	// Note examines a record; first is the oldest retained offset. Records come
+	// in ascending order within a span, and a span may repeat records of an
+	// earlier one.
 	Note(rec ports.Record, first ports.Offset)
-	// Found returns the position after which to read, if there is one yet.
+	// Found returns the offset after which to read, and false if none has been
+	// found yet.
 	Found() (ports.Offset, bool)
 }
 
-// Probe finds where a reader must start. It reads backwards from the end of the
-// stream, in spans that double, until its finder is satisfied or the oldest
-// record was read.
+// Probe finds the offset from which a reader must replay a stream. It reads
+// spans that end at the end of the stream, each twice as long as the one before,
+// until the finder has found a position or the oldest record has been read.
 type Probe struct {
-	Records int // length of the first span
+	Records int // length of the first span; less than 1 counts as 1
 
-	span   ports.Offset
-	opened bool         // the end of the stream is known
-	end    ports.Offset // where every span ends
+	span     ports.Offset
+	endKnown bool         // the end of the stream is known
+	end      ports.Offset // newest record when the probe began; every span ends there
 }
 
-// Start is where a reader starts, and with what.
+// Start is the result of a probe: where to start reading, and whether the
+// records from there on are complete.
 type Start struct {
 	After ports.Offset
-	Found bool // as the finder said; otherwise After is before the oldest record
-	Whole bool // nothing before After is missing
+	Found bool // the finder found After; otherwise After precedes the oldest record
+	Whole bool // no expired record is needed
 }
 
-// Page takes the answer to a read of r and moves r to the next one. It returns
-// the start, with r moved there, once that is known.
+// Page handles the answer to a read of r and moves r to where the probe reads
+// next. Once the start is known, it moves r there and returns it with true. If
+// records of the span expired before they were read, the probe begins again.
 func (p *Probe) Page(r *Reader, ans Answer, finder Finder) (Start, bool) {
-	if !p.opened {
-		p.open(r)
+	if !p.endKnown {
+		p.begin(r)
 		return Start{}, false
 	}
 	if ans.Expired {
@@ -49,40 +53,42 @@
 	if r.After < p.end && len(ans.Records) > 0 {
 		return Start{}, false
 	}
-	return p.close(r, finder)
+	return p.endSpan(r, finder)
 }
 
-// open takes the first page, which told where the stream begins and ends.
-func (p *Probe) open(r *Reader) {
-	p.opened = true
+// begin starts the first span, after the first page has set the first and last
+// offsets of r.
+func (p *Probe) begin(r *Reader) {
+	p.endKnown = true
 	p.end = r.Last
 	p.span = ports.Offset(max(1, p.Records))
 	p.seek(r)
 }
 
-// oldest returns the offset before the oldest record.
-func oldest(r *Reader) ports.Offset { return max(r.First, 1) - 1 }
+// beforeOldest returns the offset just before the oldest record.
+func beforeOldest(r *Reader) ports.Offset { return max(r.First, 1) - 1 }
 
-func (p *Probe) reachesOldest(r *Reader) bool { return p.end <= oldest(r)+p.span }
+func (p *Probe) reachesOldest(r *Reader) bool { return p.end <= beforeOldest(r)+p.span }
 
-// seek moves the reader to the start of the span.
+// seek moves the reader to the start of the span, at the earliest to the oldest
+// record.
 func (p *Probe) seek(r *Reader) {
 	if p.reachesOldest(r) {
-		r.Seek(oldest(r))
+		r.Seek(beforeOldest(r))
 		return
 	}
 	r.Seek(p.end - p.span)
 }
 
-// close ends a span: with what the finder found, with the oldest record, or
-// with a longer span.
-func (p *Probe) close(r *Reader, finder Finder) (Start, bool) {
+// endSpan ends a span. It returns the position that the finder found, or the
+// oldest one if the span reached it; otherwise it begins a span twice as long.
+func (p *Probe) endSpan(r *Reader, finder Finder) (Start, bool) {
 	if after, ok := finder.Found(); ok {
 		r.Seek(after)
 		return Start{After: after, Found: true, Whole: true}, true
 	}
 	if p.reachesOldest(r) {
-		after := oldest(r)
+		after := beforeOldest(r)
 		r.Seek(after)
 		return Start{After: after, Whole: after == 0}, true
 	}
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream holds what the machines that live on one stream of the log
-// have in common: the events and commands of reading and appending, one read
-// and one append at a time.
+// Package stream has the parts that state machines on one stream of the log
+// share: the events and commands for reading and appending, with one read and
+// one append in flight at a time.
 package stream
 
 import (
@@ -10,16 +10,17 @@
 	"github.com/fireflyfold/fireflyfold/ports"
 )
 
-// Event is something that happened to a machine that lives on a stream.
+// Event is an input of a state machine on a stream.
 type Event interface{ StreamEvent() }
 
-// Command is something that such a machine wants done or known.
+// Command is an output of a state machine on a stream, for its caller to execute.
 type Command interface{ StreamCommand() }
 
-// Tag names one read or one append of this process.
+// Tag identifies one read or one append of a Reader or an Appender, and matches
+// the answer to it.
 type Tag uint64
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 // PageRead answers the Read command with the same tag.
@@ -28,15 +29,16 @@
 	Page ports.Page
 }
 
-// ReadFailed reports that the Read command with the same tag brought nothing.
+// ReadFailed reports that the Read command with the same tag failed.
 type ReadFailed struct{ Tag Tag }
 
-// AppendDone reports that the group was appended.
+// AppendDone reports that the group of the Append command with the same tag was
+// appended.
 type AppendDone struct{ Tag Tag }
 
-// AppendFailed reports that the group got no answer, or a refusal. Certain
-// means that the group was not and will not be appended; it is false for a
-// *ports.UncertainError and only for that.
+// AppendFailed reports that the Append command with the same tag was refused or
+// not answered. Certain means that the group was not and will not be appended;
+// it is false for a *ports.UncertainError, and only for that.
 type AppendFailed struct {
 	Tag     Tag
 	Certain bool
@@ -57,16 +59,17 @@
 // StreamEvent marks an event.
 func (AppendFailed) StreamEvent() {}
 
-// Append asks to append the group; the answer is one AppendDone or one
-// AppendFailed with the same tag. At most one is open.
+// Append requests that the group be appended. It is answered by one AppendDone
+// or one AppendFailed with the same tag. At most one is in flight.
 type Append struct {
 	Stream ports.Stream
 	Tag    Tag
 	Group  [][]byte
 }
 
-// Read asks for a page; the answer is one PageRead or one ReadFailed with the
-// same tag. A new one replaces the one before, whose answer no longer matters.
+// Read requests a page of at most Limit records after the offset After. It is
+// answered by one PageRead or one ReadFailed with the same tag. A new Read
+// replaces the one before, whose answer is then ignored.
 type Read struct {
 	Stream ports.Stream
 	Tag    Tag
@@ -81,8 +84,8 @@
 // StreamCommand marks a command.
 func (Read) StreamCommand() {}
 
-// MalformedRecordError reports a record that cannot be read. It has no effect,
-// alike on every host.
+// MalformedRecordError reports a record that cannot be decoded. Every host
+// ignores such a record, which keeps their states equal.
 type MalformedRecordError struct {
 	Cause error
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflyfold/fireflyfold/stream/fakelog"
 )
 
-func grown(n int) *fakelog.Log {
+func logOfLength(n int) *fakelog.Log {
 	log := &fakelog.Log{}
 	for range n {
 		log.Append([][]byte{[]byte("r")})
@@ -17,34 +17,35 @@
 	return log
 }
 
-// A reader is told that it has read everything while it has not, because the
-// page of a read that was given up arrives as if it answered the next one.
-func TestLatePageIsNoAnswer(t *testing.T) {
-	log := grown(3)
+// Guards against a reader that reports the end of the stream too early: the page
+// of an abandoned read arrives while the next read is in flight.
+func TestPageOfAbandonedReadIsStale(t *testing.T) {
+	log := logOfLength(3)
 	r := stream.Reader{Limit: 10, Retry: time.Second}
 	first, _ := r.Next(0, 0)
 	late := log.Answer(first, fakelog.Fine).(stream.PageRead)
 	r.Failed(0, stream.ReadFailed{Tag: first.Tag})
 	if _, ok := r.Next(time.Millisecond, 0); ok {
-		t.Fatal("reads again before the retry interval")
+		t.Fatal("second read before the retry delay has passed")
 	}
 	log.Append([][]byte{[]byte("new")})
 	second, ok := r.Next(time.Second, 0)
 	if !ok {
-		t.Fatal("does not read again")
+		t.Fatal("no second read after the retry delay")
 	}
 	if ans := r.Page(late); !ans.Stale || ans.AtEnd {
-		t.Fatalf("took a late page: %+v", ans)
+		t.Fatalf("accepted the page of an abandoned read: %+v", ans)
 	}
 	ans := r.Page(log.Answer(second, fakelog.Fine).(stream.PageRead))
 	if len(ans.Records) != 4 || !ans.AtEnd {
-		t.Fatalf("%d records, at end %v", len(ans.Records), ans.AtEnd)
+		t.Fatalf("got %d records, at end %v; want 4, at end true", len(ans.Records), ans.AtEnd)
 	}
 }
 
-// A host that was cut off for long reads on as if nothing were missing.
-func TestExpiredRecordsAreNoticed(t *testing.T) {
-	log := grown(9)
+// Guards against a host that misses records: after a long network partition, the
+// records after its offset have expired, and it reads on from the oldest one.
+func TestReaderReportsExpiredRecords(t *testing.T) {
+	log := logOfLength(9)
 	log.Expire(5)
 	r := stream.Reader{Limit: 10, After: 2}
 	cmd, _ := r.Next(0, 0)
@@ -54,7 +55,7 @@
 	}
 }
 
-// finder is satisfied with one record.
+// finder looks for a record with the data want.
 type finder struct {
 	want  string
 	after ports.Offset
@@ -70,7 +71,7 @@
 
 func (f *finder) Found() (ports.Offset, bool) { return f.after, f.after > 0 }
 
-// probe runs a probe to its end.
+// probe runs a probe until it returns a start.
 func probe(t *testing.T, log *fakelog.Log, f *finder) stream.Start {
 	t.Helper()
 	r := stream.Reader{Limit: 3}
@@ -85,14 +86,14 @@
 			return start
 		}
 	}
-	t.Fatal("does not end")
+	t.Fatal("probe has no start after 1000 reads")
 	return stream.Start{}
 }
 
-// A successor takes minutes to start because it reads all that the log retains,
-// although the newest mark is near the end.
+// Guards against a new owner that takes minutes to start: it reads all retained
+// records, although the newest mark is near the end.
 func TestProbeReadsFromTheEnd(t *testing.T) {
-	log := grown(1000)
+	log := logOfLength(1000)
 	log.Append([][]byte{[]byte("mark")})
 	for range 9 {
 		log.Append([][]byte{[]byte("r")})
@@ -102,7 +103,7 @@
 		t.Fatalf("%+v", start)
 	}
 	if f.notes > 40 {
-		t.Fatalf("read %d records", f.notes)
+		t.Fatalf("read %d records; want at most 40", f.notes)
 	}
 	none := &finder{want: "absent"}
 	if start := probe(t, log, none); start.Found || !start.Whole || start.After != 0 {
@@ -114,7 +115,8 @@
 	}
 }
 
-// Two appends are open at once, or one follows a failure without a pause.
+// Guards against two appends in flight at once, and against an append that
+// follows a failure without a backoff.
 func TestAppenderSpacing(t *testing.T) {
 	a := stream.Appender{Retry: time.Second}
 	if !a.Ready(0, time.Minute) {
@@ -122,17 +124,17 @@
 	}
 	first := a.Send(0, nil)
 	if a.Ready(time.Hour, 0) || a.Done(first.Tag+1) {
-		t.Fatal("ready with an append open")
+		t.Fatal("ready with an append in flight, or accepted an unknown tag")
 	}
 	if !a.Failed(10*time.Second, first.Tag) || a.Ready(10500*time.Millisecond, 0) || !a.Ready(11*time.Second, 0) {
-		t.Fatal("wrong pause after a failure")
+		t.Fatal("wrong backoff after a failure")
 	}
 	again := a.Send(11*time.Second, nil)
 	if !a.Failed(11*time.Second, again.Tag) || a.Ready(12900*time.Millisecond, 0) || !a.Ready(13*time.Second, 0) {
-		t.Fatal("the pause does not grow with failures in a row")
+		t.Fatal("the backoff does not double with the second failure in a row")
 	}
 	second := a.Send(13*time.Second, nil)
 	if !a.Done(second.Tag) || a.Ready(13*time.Second, time.Second) || !a.Ready(14*time.Second, time.Second) {
-		t.Fatal("wrong pause after a success")
+		t.Fatal("wrong interval after a success")
 	}
 }
