--- a/stream/fakelog/fakelog.go
+++ b/stream/fakelog/fakelog.go
@@ -1,6 +1,6 @@
-// Package fakelog is a stream in memory for tests: it answers the read and
-// append commands of one machine's Step with the fate that the test chooses,
-// and can let an append land late or twice.
+// Package fakelog is an in-memory stream for tests. It answers the read and
+// append commands of one state machine with the outcome that the test chooses,
+// and can execute an append late or twice.
 package fakelog
 
 import (
@@ -10,34 +10,35 @@
 	"github.com/fireflyfold/fireflyfold/stream"
 )
 
-// Fate is what becomes of a call.
+// Fate is the outcome of a call: whether it takes effect, and what the caller
+// gets to know.
 type Fate uint8
 
-// The fates of a call.
+// Outcomes of a call.
 const (
 	Fine        Fate = iota // takes effect and is answered
-	Refused                 // no effect, and the answer says so
-	AnswerLost              // takes effect, the answer is lost
-	RequestLost             // no effect, the caller cannot know
-	Late                    // no effect yet, the caller cannot know; lands with LandLate
-	Doubled                 // takes effect and is answered; lands once more with LandLate
+	Refused                 // no effect; the answer reports that
+	AnswerLost              // takes effect; the answer is lost
+	RequestLost             // no effect; the request is lost, the caller cannot know
+	Late                    // takes effect with LandLate; the caller cannot know
+	Doubled                 // takes effect and is answered; takes effect again with LandLate
 	fates
 )
 
-// Fates is the number of fates, for drawing one.
+// Fates is the number of values of Fate, for drawing one at random.
 const Fates = int(fates)
 
-// Log is one stream.
+// Log is an in-memory stream.
 type Log struct {
-	groups  [][][]byte // that wait for LandLate
-	records []ports.Record
-	last    ports.Offset
-	// Appends counts the groups that landed, Bytes what they carried.
+	lateGroups [][][]byte // delayed until LandLate
+	records    []ports.Record
+	last       ports.Offset
+	// Appends is the number of groups appended, Bytes the size of their records.
 	Appends int
 	Bytes   int
 }
 
-// Append lands a group and returns the offset of its last record.
+// Append appends a group and returns the offset of its last record.
 func (l *Log) Append(group [][]byte) ports.Offset {
 	for _, data := range group {
 		l.last++
@@ -51,7 +52,7 @@
 // Last returns the offset of the newest record.
 func (l *Log) Last() ports.Offset { return l.last }
 
-// Records returns what is retained.
+// Records returns the retained records, oldest first.
 func (l *Log) Records() []ports.Record { return l.records }
 
 // Expire drops all records before the offset.
@@ -63,7 +64,8 @@
 	l.records = l.records[n:]
 }
 
-// First returns the offset of the oldest record that is retained.
+// First returns the offset of the oldest retained record, or the offset after
+// the newest record if none is retained.
 func (l *Log) First() ports.Offset {
 	if len(l.records) == 0 {
 		return l.last + 1
@@ -83,18 +85,18 @@
 	return page
 }
 
-// LateGroups returns the number of groups that wait for LandLate.
-func (l *Log) LateGroups() int { return len(l.groups) }
+// LateGroups returns the number of groups that are delayed until LandLate.
+func (l *Log) LateGroups() int { return len(l.lateGroups) }
 
-// LandLate lands the i-th of the groups that wait.
+// LandLate appends the i-th of the delayed groups.
 func (l *Log) LandLate(i int) {
-	group := l.groups[i]
-	l.groups = append(l.groups[:i:i], l.groups[i+1:]...)
+	group := l.lateGroups[i]
+	l.lateGroups = append(l.lateGroups[:i:i], l.lateGroups[i+1:]...)
 	l.Append(group)
 }
 
-// Answer gives the event that answers a read or an append. It returns nil for
-// any other command.
+// Answer executes a read or an append with the given outcome and returns the
+// event that answers it. It returns nil for any other command.
 func (l *Log) Answer(cmd stream.Command, fate Fate) stream.Event {
 	switch cmd := cmd.(type) {
 	case stream.Append:
@@ -118,72 +120,76 @@
 	case RequestLost:
 		return stream.AppendFailed{Tag: cmd.Tag}
 	case Late:
-		l.groups = append(l.groups, cmd.Group)
+		l.lateGroups = append(l.lateGroups, cmd.Group)
 		return stream.AppendFailed{Tag: cmd.Tag}
 	case Doubled:
-		l.groups = append(l.groups, cmd.Group)
+		l.lateGroups = append(l.lateGroups, cmd.Group)
 	}
 	l.Append(cmd.Group)
 	return stream.AppendDone{Tag: cmd.Tag}
 }
 
-// Calls are the reads and appends of one machine that are not answered yet.
+// Calls holds the reads and appends of one state machine that are in flight.
 type Calls struct {
-	Log  *Log
-	open []stream.Command
+	Log      *Log
+	inFlight []stream.Command
 }
 
-// Take keeps a read or an append, and reports false for any other command.
+// Take adds a read or an append, and returns false for any other command.
 func (c *Calls) Take(cmd stream.Command) bool {
 	switch cmd.(type) {
 	case stream.Append, stream.Read:
-		c.open = append(c.open, cmd)
+		c.inFlight = append(c.inFlight, cmd)
 		return true
 	}
 	return false
 }
 
-// Len returns the number of open calls.
-func (c *Calls) Len() int { return len(c.open) }
+// Len returns the number of calls in flight.
+func (c *Calls) Len() int { return len(c.inFlight) }
 
-// Drop forgets all open calls.
-func (c *Calls) Drop() { c.open = nil }
+// Drop removes all calls without an answer.
+func (c *Calls) Drop() { c.inFlight = nil }
 
-// Answer returns the event that answers the i-th open call.
+// Answer removes the i-th call, executes it on Log with the given outcome and
+// returns the event that answers it.
 func (c *Calls) Answer(i int, fate Fate) stream.Event {
-	cmd := c.open[i]
-	c.open = append(c.open[:i:i], c.open[i+1:]...)
+	cmd := c.inFlight[i]
+	c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 	return c.Log.Answer(cmd, fate)
 }
 
-// Append returns the place of the open append, or -1.
+// Append returns the index of the append in flight, or -1.
 func (c *Calls) Append() int { return c.find(true) }
 
-// Read returns the place of the oldest open read, or -1.
+// Read returns the index of the oldest read in flight, or -1.
 func (c *Calls) Read() int { return c.find(false) }
 
-func (c *Calls) find(want bool) int {
-	for i, cmd := range c.open {
-		if _, ok := cmd.(stream.Append); ok == want {
+// find returns the index of the oldest append, or of the oldest read, or -1.
+func (c *Calls) find(appends bool) int {
+	for i, cmd := range c.inFlight {
+		if _, ok := cmd.(stream.Append); ok == appends {
 			return i
 		}
 	}
 	return -1
 }
 
-// TakeAppend takes the open append away from the calls.
+// TakeAppend removes the append in flight without executing it and returns it,
+// or false if there is none.
 func (c *Calls) TakeAppend() (stream.Append, bool) {
 	i := c.Append()
 	if i < 0 {
 		return stream.Append{}, false
 	}
-	cmd := c.open[i].(stream.Append)
-	c.open = append(c.open[:i:i], c.open[i+1:]...)
+	cmd := c.inFlight[i].(stream.Append)
+	c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 	return cmd, true
 }
 
-// FixHistories gives the property tests of a package a fixed seed and long
-// histories, unless the command line says otherwise. It is called by TestMain.
+// FixHistories sets the seed of a package's property tests to a fixed value and
+// their number of steps to 100, unless the command line sets them. It parses
+// the flags, and is called by TestMain.
 func FixHistories() error {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.steps": "100"} {
 		if err := flag.Set(name, value); err != nil {
