--- a/cmd/fireflyfold-platform/main.go
+++ b/cmd/fireflyfold-platform/main.go
@@ -1,5 +1,5 @@
 // Command fireflyfold-platform runs a stand-in for the platform on loopback:
-// log, host list, workers and a demo upstream, with faults on request.
+// log, host list, workers and a demo upstream, with fault injection on request.
 package main
 
 import (
@@ -18,8 +18,9 @@
 	"github.com/fireflyfold/fireflyfold/standin"
 )
 
-// watchEvery is how often the entry hosts are looked at.
-const watchEvery = 500 * time.Millisecond
+// watchInterval is the time between two checks of whether the entry hosts accept
+// connections.
+const watchInterval = 500 * time.Millisecond
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -28,7 +29,7 @@
 	}
 }
 
-// run serves until a signal comes.
+// run serves until SIGINT or SIGTERM.
 func run(args []string) error {
 	flags := flag.NewFlagSet("fireflyfold-platform", flag.ExitOnError)
 	name := flags.String("layout", "rosenau", "deployment to stand in for: rosenau or sabzkhata")
@@ -37,8 +38,8 @@
 	lag := flags.Duration("host-lag", 0, "lag of the host list; 0 for the layout's")
 	workers := flags.Int("workers", 0, "workers in each zone; 0 for the layout's")
 	var hosts hostFlag
-	flags.Var(&hosts, "host", "entry host to list while it takes connections, as zone/id=IP:port of its peer endpoint; may be repeated")
-	rate := flags.Float64("append-rate", 0, "appends a second that the log takes; 0 for the layout's")
+	flags.Var(&hosts, "host", "entry host to list while it accepts connections, as zone/id=IP:port of its peer endpoint; may be repeated")
+	rate := flags.Float64("append-rate", 0, "appends a second that the log accepts; 0 for the layout's")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -62,11 +63,11 @@
 	}
 	defer p.Close()
 	printAddresses(p)
-	p.Watch(ctx, hosts, watchEvery)
+	p.Watch(ctx, hosts, watchInterval)
 	return nil
 }
 
-// printAddresses tells where everything is.
+// printAddresses prints the addresses that the stand-in listens on.
 func printAddresses(p *standin.Platform) {
 	fmt.Printf("platform %s: log, host list and faults on %s, %d workers\n", p.Layout.Name, p.Addr(), len(p.Workers))
 	for _, zone := range p.Layout.Zones {
@@ -74,13 +75,13 @@
 	}
 }
 
-// hostFlag collects entry hosts.
+// hostFlag collects the entry hosts of a repeated -host flag.
 type hostFlag []ports.HostEntry
 
 // String implements flag.Value.
 func (h *hostFlag) String() string { return fmt.Sprintf("%d hosts", len(*h)) }
 
-// Set implements flag.Value.
+// Set implements flag.Value. It returns a *hostFlagError for a malformed value.
 func (h *hostFlag) Set(text string) error {
 	name, addr, okAddr := strings.Cut(text, "=")
 	zone, id, okZone := strings.Cut(name, "/")
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// hostFlagError reports a malformed host flag.
+// hostFlagError reports a malformed value of the -host flag.
 type hostFlagError struct{ text string }
 
 // Error implements error.
--- a/cmd/fireflyfold/main.go
+++ b/cmd/fireflyfold/main.go
@@ -1,5 +1,5 @@
-// Command fireflyfold is the entry host daemon and the tool of its callers and
-// operators.
+// Command fireflyfold runs the entry host daemon, and is the command-line tool
+// for its callers and operators.
 package main
 
 import (
