--- a/demo/command.go
+++ b/demo/command.go
@@ -12,14 +12,14 @@
 	"github.com/fireflyfold/fireflyfold/standin"
 )
 
-// Command implements "fireflyfold demo".
+// Command implements the command "fireflyfold demo".
 type Command struct {
 	only string
 	time time.Duration
 	rate float64
 }
 
-// Defaults of the flags.
+// Defaults and limits of the flags. The rate is in arrivals a second.
 const (
 	defaultTime = 6 * time.Second
 	defaultRate = 250
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,8 +1,9 @@
-// Package demo is the command that shows the system at work: both deployments,
-// one after the other, each with its platform's stand-in and all its entry
-// hosts in this one process, over loopback TCP.
+// Package demo implements the demo command, which runs both deployments one
+// after the other. The stand-in of the platform and all entry hosts run in one
+// process and communicate over loopback TCP.
 //
 // A mixed load runs for a few seconds. Meanwhile the host that schedules the
-// first zone crashes and a zone is cut off. The table at the end says what
-// became of the work, and whether any promise was broken.
+// first zone crashes, and a network partition isolates another zone. The table
+// at the end reports the outcomes of the work, and whether a guarantee was
+// violated ("a promise was broken" in the output).
 package demo
--- a/demo/gauge.go
+++ b/demo/gauge.go
@@ -8,31 +8,31 @@
 	"github.com/fireflyfold/fireflyfold/localfleet"
 )
 
-// gaugeEvery is the time between two looks at the workers.
-const gaugeEvery = 50 * time.Millisecond
+// sampleInterval is the time between two samples of the workers' usage.
+const sampleInterval = 50 * time.Millisecond
 
-// gauge looks at what the workers run while work arrives.
-type gauge struct {
-	fleet   *localfleet.Fleet
-	looks   int
-	packing float64 // sum over looks: processors in use on the workers in use
-	packed  int     // looks with a worker in use
-	units   map[ident.TeamID]int64
+// sampler samples the usage of the workers and the teams while work arrives.
+type sampler struct {
+	fleet          *localfleet.Fleet
+	samples        int
+	packing        float64                // sum over packingSamples: share of processors in use on the workers in use
+	packingSamples int                    // samples with a worker in use
+	units          map[ident.TeamID]int64 // sum over samples: units in use
 }
 
-func newGauge(f *localfleet.Fleet) *gauge {
-	return &gauge{fleet: f, units: map[ident.TeamID]int64{}}
+func newSampler(f *localfleet.Fleet) *sampler {
+	return &sampler{fleet: f, units: map[ident.TeamID]int64{}}
 }
 
-// run looks until ctx ends or d has passed.
-func (g *gauge) run(ctx context.Context, d time.Duration) {
-	ticker := time.NewTicker(gaugeEvery)
+// run takes samples until ctx ends or d has passed.
+func (s *sampler) run(ctx context.Context, d time.Duration) {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	end := time.After(d)
 	for {
 		select {
 		case <-ticker.C:
-			g.look()
+			s.sample()
 		case <-end:
 			return
 		case <-ctx.Done():
@@ -41,15 +41,15 @@
 	}
 }
 
-func (g *gauge) look() {
-	g.looks++
-	audit := g.fleet.Platform.Audit
-	for _, team := range g.fleet.Platform.Layout.Teams {
-		now, _ := audit.Units(team)
-		g.units[team] += now
+func (s *sampler) sample() {
+	s.samples++
+	audit := s.fleet.Platform.Audit
+	for _, team := range s.fleet.Platform.Layout.Teams {
+		inUse, _ := audit.Units(team)
+		s.units[team] += inUse
 	}
 	var used, size int64
-	for _, w := range g.fleet.Platform.Workers {
+	for _, w := range s.fleet.Platform.Workers {
 		cfg := w.State.Config()
 		if cpu := audit.Used(cfg.Worker).MilliCPU; cpu > 0 {
 			used += cpu
@@ -57,15 +57,16 @@
 		}
 	}
 	if size > 0 {
-		g.packing += float64(used) / float64(size)
-		g.packed++
+		s.packing += float64(used) / float64(size)
+		s.packingSamples++
 	}
 }
 
-// meanPacking is the mean share of processors in use on workers in use.
-func (g *gauge) meanPacking() float64 { return g.packing / float64(max(g.packed, 1)) }
+// meanPacking returns the mean share (0 to 1) of processors in use on the workers
+// in use.
+func (s *sampler) meanPacking() float64 { return s.packing / float64(max(s.packingSamples, 1)) }
 
-// meanUnits is the mean number of a team's units in use.
-func (g *gauge) meanUnits(team ident.TeamID) float64 {
-	return float64(g.units[team]) / float64(max(g.looks, 1))
+// meanUnits returns the mean number of units that a team had in use.
+func (s *sampler) meanUnits(team ident.TeamID) float64 {
+	return float64(s.units[team]) / float64(max(s.samples, 1))
 }
--- a/demo/run.go
+++ b/demo/run.go
@@ -16,15 +16,15 @@
 	"github.com/fireflyfold/fireflyfold/standin"
 )
 
-// Options describe one run.
+// Options are the settings of one run.
 type Options struct {
 	Layout   standin.Layout
-	Time     time.Duration // of arrivals
+	Time     time.Duration // how long work arrives
 	Rate     float64       // arrivals a second
-	Progress io.Writer     // told what happens, a line each
+	Progress io.Writer     // receives a line for each event
 }
 
-// Shape of the load and of the faults.
+// Parameters of the load and of the faults.
 const (
 	requestDeadline = 3 * time.Second
 	jobDeadline     = 8 * time.Second
@@ -36,15 +36,16 @@
 	replicas        = 8   // of the declared service
 	replicaMilliCPU = 2000
 	replicaMemory   = 2048 // MiB
-	crashAt         = 0.25 // of the time of arrivals
-	cutAt           = 0.5
-	joinAt          = 0.8
+	crashAt         = 0.25 // fraction of Options.Time, as the next two
+	partitionAt     = 0.5
+	healAt          = 0.8
 	readyPoll       = 20 * time.Millisecond
 	readyTimeout    = 20 * time.Second
-	cutZone         = 2 // index in the layout
+	partitionedZone = 2 // index in the layout
 )
 
-// Run runs one deployment under load and faults.
+// Run runs one deployment under load and faults, and returns its outcome. It
+// returns a *NotReadyError if a zone has no scheduler within readyTimeout.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	f, err := localfleet.Start(ctx, localfleet.Options{Layout: opts.Layout, TeamLimit: teamLimit})
 	if err != nil {
@@ -59,11 +60,12 @@
 	}
 	fmt.Fprintf(opts.Progress, "%s: %d entry hosts, %d workers; work arrives for %s\n",
 		opts.Layout.Name, len(f.Hosts()), len(f.Platform.Workers), opts.Time)
-	r := &run{opts: opts, fleet: f, gauge: newGauge(f)}
+	r := &run{opts: opts, fleet: f, sampler: newSampler(f)}
 	return r.measure(ctx)
 }
 
-// NotReadyError reports a fleet that did not get ready.
+// NotReadyError reports that a zone had no scheduler within readyTimeout, or
+// that the run was cancelled while it had none.
 type NotReadyError struct {
 	Zone ident.Zone
 }
@@ -83,7 +85,7 @@
 	}}})
 }
 
-// awaitReady waits until every zone has a scheduler.
+// awaitReady waits until every zone has a scheduler, or returns a *NotReadyError.
 func awaitReady(ctx context.Context, f *localfleet.Fleet) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, zone := range f.Platform.Layout.Zones {
@@ -97,6 +99,7 @@
 	return nil
 }
 
+// schedulerOf returns the running host that schedules the zone, or nil.
 func schedulerOf(f *localfleet.Fleet, zone ident.Zone) *localfleet.Member {
 	for _, m := range f.Hosts() {
 		if m.Zone == zone && m.Running() && m.Host.Scheduling() {
@@ -106,11 +109,11 @@
 	return nil
 }
 
-// run is one run under way.
+// run is a run in progress.
 type run struct {
-	opts  Options
-	fleet *localfleet.Fleet
-	gauge *gauge
+	opts    Options
+	fleet   *localfleet.Fleet
+	sampler *sampler
 }
 
 func (r *run) measure(ctx context.Context) (*Result, error) {
@@ -122,7 +125,7 @@
 	}
 	var report *load.Report
 	var background conc.WaitGroup
-	background.Go(func() { r.gauge.run(ctx, r.opts.Time) })
+	background.Go(func() { r.sampler.run(ctx, r.opts.Time) })
 	background.Go(func() { r.faults(ctx) })
 	report, err = load.Run(ctx, opts)
 	cancel()
@@ -158,8 +161,8 @@
 	return opts, nil
 }
 
-// faults crashes the scheduler of the first zone, and cuts a zone off from the
-// others and from the platform for a while.
+// faults crashes the scheduler of the first zone at crashAt. From partitionAt to
+// healAt it isolates a zone from the other zones and from the platform.
 func (r *run) faults(ctx context.Context) {
 	zones := r.opts.Layout.Zones
 	if !r.sleepUntil(ctx, crashAt) {
@@ -170,23 +173,23 @@
 		r.fleet.Kill(victim.ID)
 		r.fleet.Unlist(victim.ID)
 	}
-	if !r.sleepUntil(ctx, cutAt-crashAt) {
+	if !r.sleepUntil(ctx, partitionAt-crashAt) {
 		return
 	}
-	cut := zones[cutZone].Zone
-	fmt.Fprintf(r.opts.Progress, "  zone %s is cut off from the other zones and the platform\n", cut)
-	_ = r.fleet.Platform.Network.Isolate(cut, standin.RelayFaults{Hang: true}) // the zone exists
-	joined := r.sleepUntil(ctx, joinAt-cutAt)
-	_ = r.fleet.Platform.Network.Isolate(cut, standin.RelayFaults{})
+	partitioned := zones[partitionedZone].Zone
+	fmt.Fprintf(r.opts.Progress, "  zone %s is cut off from the other zones and the platform\n", partitioned)
+	_ = r.fleet.Platform.Network.Isolate(partitioned, standin.RelayFaults{Hang: true}) // the zone exists
+	joined := r.sleepUntil(ctx, healAt-partitionAt)
+	_ = r.fleet.Platform.Network.Isolate(partitioned, standin.RelayFaults{})
 	if joined {
-		fmt.Fprintf(r.opts.Progress, "  zone %s is joined again\n", cut)
+		fmt.Fprintf(r.opts.Progress, "  zone %s is joined again\n", partitioned)
 	}
 }
 
-// sleepUntil waits for a part of the time of arrivals and reports whether it
-// passed.
-func (r *run) sleepUntil(ctx context.Context, part float64) bool {
-	timer := time.NewTimer(time.Duration(part * float64(r.opts.Time)))
+// sleepUntil waits for a fraction of Options.Time. It returns false if ctx ended
+// first.
+func (r *run) sleepUntil(ctx context.Context, fraction float64) bool {
+	timer := time.NewTimer(time.Duration(fraction * float64(r.opts.Time)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
