--- a/region/region.go
+++ b/region/region.go
@@ -88,7 +88,7 @@
 	estimates      estimates
 	shares         shares
 
-	entries          []*record.Entry  // entries produced by this Step
+	entries          []*record.Entry  // entries produced by this call of Handle
 	seq              int64            // number of the last entry produced
 	committed        int64            // number of the last entry committed
 	appendLatency    time.Duration    // latency of the newest append
